--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -80,12 +80,12 @@
     const Job* job = this->FindJob(id.job);
     const base::Micros ran = HeardRunning(run, worker);
     // A lasting task that was at work for long is not what ended its worker.
-    const bool may_be_cause =
-        run.state != RunState::kPlanned && !(run.lasting && ran >= kStartProof);
+    const bool may_be_cause = run.state != RunState::kPlanned &&
+                              !(run.lasting && ran >= kStartupCrashWindow);
     if (!may_be_cause || !job || !Exists(*job, PlaceOf(id)))
       continue;
     const bool was_alone =
-        ran < kStartProof &&
+        ran < kStartupCrashWindow &&
         (runs.size() == 1 ||
          (run.suspicion >= Suspicion::kProbe && !leaves_doubt));
     losses[id] = {.run = run.number,
@@ -169,7 +169,7 @@
 // The worker answers: it has not crashed, and earlier lives on its box have.
 void Scheduler::SettleLosses(const Worker& worker, base::Micros now) {
   const jobs::WorkerLife& life = worker.info.life;
-  for (const std::string& id : this->open_losses.Take(life)) {
+  for (const std::string& id : this->open_losses.Remove(life)) {
     Job* job = this->FindJob(id);
     if (!job)
       continue;
@@ -179,8 +179,8 @@
                   [](const auto& entry) { return entry.second.empty(); });
   }
   for (const jobs::WorkerLife& other :
-       this->open_losses.OthersOn(worker.info.box, life)) {
-    for (const std::string& id : this->open_losses.Take(other)) {
+       this->open_losses.OtherLivesOn(worker.info.box, life)) {
+    for (const std::string& id : this->open_losses.Remove(other)) {
       Job* job = this->FindJob(id);
       if (!job)
         continue;
@@ -222,10 +222,11 @@
   const auto index = static_cast<std::size_t>(place.index);
   const Task& task = StepAt(job, place).tasks[index];
   const auto tries = job.progress.last_tries.find(KeyOf(place));
-  return Judge(found->second,
-               tries == job.progress.last_tries.end() ? jobs::RunNumbers()
-                                                      : tries->second,
-               now - task.newest_loss, StepOf(job, place).lasting);
+  return AssessSuspicion(found->second,
+                         tries == job.progress.last_tries.end()
+                             ? jobs::RunNumbers()
+                             : tries->second,
+                         now - task.newest_loss, StepOf(job, place).lasting);
 }
 
 // The members of a gang start together.
@@ -259,7 +260,7 @@
     const bool may_start =
         task.state == TaskState::kReady || task.state == TaskState::kBlocked;
     if ((serves_on && !may_start) || task.state == TaskState::kGivenUp ||
-        this->SuspicionOf(job, place, now) != Suspicion::kCause)
+        this->SuspicionOf(job, place, now) != Suspicion::kGiveUp)
       continue;
     this->actions.emplace_back(
         TaskGivenUp{.job = job.id, .task = key, .losses = losses});
@@ -275,9 +276,9 @@
 // It is listed as running: what lives on has not crashed its worker.
 void Scheduler::WatchSuspect(Worker& worker, const jobs::TaskId& id, Run& run) {
   const base::Micros ran = HeardRunning(run, worker);
-  if (run.suspicion != Suspicion::kNone && ran >= kProbation)
+  if (run.suspicion != Suspicion::kNone && ran >= kSuspectWatchTime)
     ClearSuspicion(worker, run);
-  if (!run.lasting || ran < kStartProof)
+  if (!run.lasting || ran < kStartupCrashWindow)
     return;
   Job* job = this->FindJob(id.job);
   if (!job || job->progress.losses.empty())
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -235,7 +235,7 @@
     return Tried::kStays;
   }
   const Suspicion suspicion = this->SuspicionOfStart(job, task.place, now);
-  if (suspicion == Suspicion::kCause) {
+  if (suspicion == Suspicion::kGiveUp) {
     this->GiveUpCauses(job, now);
     return Tried::kUnwanted;
   }
@@ -263,7 +263,7 @@
     base::Micros now) {
   Job& job = *ready_task.job;
   const jobs::Step& step = StepOf(job, ready_task.place);
-  if (suspicion >= Suspicion::kHeld)
+  if (suspicion >= Suspicion::kDeferred)
     return WaitReason::kSuspect;
   if (!this->quotas.Allows(job.organisation, NeededBy(step)))
     return WaitReason::kQuota;
@@ -324,7 +324,8 @@
         .occurrence = place.occurrence, .step = place.step, .index = i};
     const Suspicion suspicion = this->SuspicionOf(job, member, now);
     const bool alone = suspicion == Suspicion::kProbe;
-    const bool waits_for_idle = alone && now - task.ready_since < kWaitForIdle;
+    const bool waits_for_idle =
+        alone && now - task.ready_since < kIdleWorkerWait;
     Worker* best = nullptr;
     double best_cost = 0.0;
     for (Worker* worker : candidates) {
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -392,7 +392,7 @@
   std::unordered_map<std::string, Job> jobs;
   std::map<std::string, UnknownJob> unknown_jobs;
   std::map<std::string, ReadyTasks> ready;  // by service
-  OpenLosses open_losses;
+  UnresolvedLosses open_losses;
   std::set<std::string> to_save;  // jobs whose progress changed
   std::set<std::string> timed;    // jobs with repeats to come
   RunTimes run_times;
--- a/scheduler/suspects.h
+++ b/scheduler/suspects.h
@@ -17,43 +17,44 @@
 
 enum class Suspicion {
   kNone,
-  kSlight,  // one worker was lost: whatever ran there may be the cause
-  kProbe,   // it starts alone, so that nothing else is lost with it
-  kHeld,    // it waits until it is known what became of the workers
-  kCause,   // it is not started any more
+  kLow,       // one worker was lost: whatever ran there may be the cause
+  kProbe,     // it starts alone, so that nothing else is lost with it
+  kDeferred,  // it waits until it is known what became of the workers
+  kGiveUp,    // it is not started any more
 };
 
 // `last_tries`: runs that were placed though three workers had been lost.
-// `since_newest`: since the newest of the losses was noted. A lasting task is
-// not the cause before its last tries were lost too: it is gone for good from a
-// job that goes on.
-Suspicion Judge(const jobs::WorkerLosses& losses,
-                const jobs::RunNumbers& last_tries,
-                base::Micros since_newest,
-                bool is_lasting = false);
+// `since_last_loss`: since the newest of the losses was noted. A lasting task
+// is not the cause before its last tries were lost too: it is gone for good
+// from a job that goes on.
+Suspicion AssessSuspicion(const jobs::WorkerLosses& losses,
+                          const jobs::RunNumbers& last_tries,
+                          base::Micros since_last_loss,
+                          bool is_lasting = false);
 // Is the next run one of the last tries?
 bool IsLastTry(const jobs::WorkerLosses& losses);
 
 // How long a suspected run is watched: one that lives on is not the cause.
-inline constexpr base::Micros kProbation = std::chrono::seconds(2);
+inline constexpr base::Micros kSuspectWatchTime = std::chrono::seconds(2);
 // A run that was heard of for so long has not ended its worker by its start.
-inline constexpr base::Micros kStartProof = std::chrono::seconds(3);
+inline constexpr base::Micros kStartupCrashWindow = std::chrono::seconds(3);
 // A task that is to start alone waits this long for a worker that runs nothing.
-inline constexpr base::Micros kWaitForIdle = std::chrono::seconds(1);
+inline constexpr base::Micros kIdleWorkerWait = std::chrono::seconds(1);
 
 // Lives that fell silent with tasks on them, and the jobs of these tasks. A
 // life that answers again has not crashed; one has where another answers on
 // its box.
-class OpenLosses {
+class UnresolvedLosses {
  public:
   void Add(const jobs::WorkerLife& life,
            const std::string& box,
            const std::string& job);
   // Takes what is open of this life out; the jobs concerned.
-  std::set<std::string> Take(const jobs::WorkerLife& life);
+  std::set<std::string> Remove(const jobs::WorkerLife& life);
   // Other lives than this one that were lost on the box.
-  std::vector<jobs::WorkerLife> OthersOn(const std::string& box,
-                                         const jobs::WorkerLife& life) const;
+  std::vector<jobs::WorkerLife> OtherLivesOn(
+      const std::string& box,
+      const jobs::WorkerLife& life) const;
   std::size_t size() const { return this->lives.size(); }
 
  private:
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -56,28 +56,28 @@
 BOOST_AUTO_TEST_CASE(LossesAreJudgedByWhatIsKnownOfThem) {
   const jobs::WorkerLosses two{{Life("a"), Crash(1, "x")},
                                {Life("b"), Crash(2, "y")}};
-  BOOST_CHECK(Judge({}, {}, seconds(9)) == Suspicion::kNone);
-  BOOST_CHECK(Judge({{Life("a"), Crash(1, "x")}}, {}, seconds(9)) ==
-              Suspicion::kSlight);
-  BOOST_CHECK(Judge(two, {}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion({}, {}, seconds(9)) == Suspicion::kNone);
+  BOOST_CHECK(AssessSuspicion({{Life("a"), Crash(1, "x")}}, {}, seconds(9)) ==
+              Suspicion::kLow);
+  BOOST_CHECK(AssessSuspicion(two, {}, seconds(9)) == Suspicion::kProbe);
   // A third one of which it is not known yet whether it was a crash.
   jobs::WorkerLosses three = two;
   three[Life("c")] = {.run = 3, .box = "z", .was_alone = true};
-  BOOST_CHECK(Judge(three, {}, seconds(1)) == Suspicion::kHeld);
-  BOOST_CHECK(Judge(three, {}, seconds(9)) == Suspicion::kProbe);
-  BOOST_CHECK(Judge(three, {4}, seconds(9)) == Suspicion::kProbe);
-  BOOST_CHECK(Judge(three, {4, 5}, seconds(9)) == Suspicion::kCause);
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kDeferred);
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion(three, {4}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion(three, {4, 5}, seconds(9)) == Suspicion::kGiveUp);
   three[Life("c")].has_crashed = true;
-  BOOST_CHECK(Judge(three, {}, seconds(1)) == Suspicion::kCause);
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kGiveUp);
   // In company it tells no more than the other two.
   three[Life("c")].was_alone = false;
-  BOOST_CHECK(Judge(three, {}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
   // Always on the same box.
   jobs::WorkerLosses one_box{{Life("a"), Crash(1, "x")},
                              {Life("b"), Crash(2, "x")},
                              {Life("c"), Crash(3, "x")}};
   one_box[Life("c")].was_alone = true;
-  BOOST_CHECK(Judge(one_box, {}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion(one_box, {}, seconds(9)) == Suspicion::kProbe);
 }
 
 // A worker that answers again has not crashed; where another life answers on
