--- a/bench/bench_main.cc
+++ b/bench/bench_main.cc
@@ -59,7 +59,7 @@
     signature.Add(model.History());
     signature.Add(static_cast<std::uint64_t>(model.starts()));
     fmt::print("{:<16} {:>7} {:>10} {:>7}\n", scenario.name, model.starts(),
-               model.takeovers(), model.broken().size());
+               model.takeovers(), model.violations().size());
   }
   fmt::print("Bench: {:016x}\n", signature.value());
   return 0;
--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -55,7 +55,7 @@
                                       MakeJob("other", 5)};
   SchedulerModel model(1, {}, 5, jobs);
   model.RunFor(seconds(60));
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_CHECK(model.StateOf("guilty") == jobs::JobState::kFailed);
   BOOST_CHECK(model.StateOf("beside") == jobs::JobState::kCompleted);
   BOOST_CHECK(model.StateOf("other") == jobs::JobState::kCompleted);
@@ -72,7 +72,7 @@
     model.RunFor(seconds(4));
     model.TakeOver();
   }
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_CHECK(model.StateOf("guilty") == jobs::JobState::kFailed);
   BOOST_CHECK(model.StateOf("other") == jobs::JobState::kCompleted);
   BOOST_TEST(model.crashed_workers() <= 3);
@@ -89,7 +89,7 @@
   model.RunFor(seconds(40));
   model.TakeOver();
   model.RunFor(seconds(10));
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_TEST(model.RunningTasks("lasting") == 3);
   BOOST_TEST(model.crashed_workers() <= 5);
 }
@@ -119,18 +119,18 @@
     faults.lost_save = odds(200);
     faults.late_save = odds(100);
     faults.crash = odds(100);
-    faults.cut = odds(300);
+    faults.partition = odds(300);
     faults.takeover = odds(200);
     faults.late_job = odds(300);
-    faults.part_away = odds(300);
-    faults.freeze = odds(100);
+    faults.store_outage = odds(300);
+    faults.owner_pause = odds(100);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     SchedulerModel model(seed, faults, *rc::gen::inRange(3, 8), jobs);
     model.RunFor(seconds(40));
     model.Heal();
     model.RunFor(seconds(60));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
       RC_LOG() << job.id << " is "
                << base::NameOf(jobs::kJobStateNames, model.StateOf(job.id))
@@ -172,8 +172,8 @@
     model.RunFor(seconds(30));
     model.Heal();
     model.RunFor(seconds(40));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     int guilty = 0;
     for (const ModelJob& job : jobs) {
       guilty += !job.crashing.empty();
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -60,11 +60,11 @@
   faults.lost_save = odds(200);
   faults.late_save = odds(100);
   faults.crash = odds(100);
-  faults.cut = odds(300);
+  faults.partition = odds(300);
   faults.takeover = odds(200);
   faults.late_job = odds(300);
-  faults.part_away = odds(300);
-  faults.freeze = odds(100);
+  faults.store_outage = odds(300);
+  faults.owner_pause = odds(100);
   faults.failing_run = odds(200);
   return faults;
 }
@@ -92,7 +92,7 @@
   jobs[1].spec.steps[0].lasting = true;
   SchedulerModel model(1, {}, 4, jobs);
   model.RunFor(seconds(15));
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_CHECK(model.StateOf("chain") == jobs::JobState::kCompleted);
   BOOST_TEST(model.RunningTasks("lasting") == 4);
   // Nothing was lost, so nothing was started twice.
@@ -109,12 +109,12 @@
   SchedulerModel model(1, {}, 3, {job});
   model.RunFor(seconds(3));
   BOOST_REQUIRE(model.RunningTasks("lasting") == 2);
-  model.Darken("lasting");
+  model.SilenceWorkersOf("lasting");
   for (int i = 0; i < 5; ++i) {
     model.TakeOver();
     model.RunFor(seconds(4));
   }
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_TEST(model.RunningTasks("lasting") == 2);
 }
 
@@ -125,9 +125,9 @@
     std::vector<ModelJob> jobs = DrawJobs(4);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     ModelFaults faults;
-    faults.part_away = 0.5;
+    faults.store_outage = 0.5;
     // A new owner reaches some workers late: the earlier one goes on with them.
-    faults.cut = 2.0;
+    faults.partition = 2.0;
     SchedulerModel model(seed, faults, 5, jobs);
     for (int i = 0; i < 5; ++i) {
       model.RunFor(std::chrono::milliseconds(*rc::gen::inRange(20, 2500)));
@@ -135,8 +135,8 @@
     }
     model.Heal();
     model.RunFor(seconds(20));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
   });
   BOOST_TEST(holds);
 }
@@ -154,8 +154,8 @@
       model.TakeOver();
     }
     model.RunFor(seconds(15));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
       if (!IsLasting(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
@@ -176,8 +176,8 @@
         model.RunFor(seconds(25));
         model.Heal();
         model.RunFor(seconds(45));
-        RC_LOG() << Joined(model.broken()) << model.History();
-        RC_ASSERT(model.broken().empty());
+        RC_LOG() << Joined(model.violations()) << model.History();
+        RC_ASSERT(model.violations().empty());
         for (const ModelJob& job : jobs) {
           RC_LOG() << job.id << " is "
                    << base::NameOf(jobs::kJobStateNames, model.StateOf(job.id))
@@ -210,8 +210,8 @@
         model.RunFor(seconds(5));
         model.Heal();
         model.RunFor(seconds(25));
-        RC_LOG() << Joined(model.broken()) << model.History();
-        RC_ASSERT(model.broken().empty());
+        RC_LOG() << Joined(model.violations()) << model.History();
+        RC_ASSERT(model.violations().empty());
         RC_ASSERT(model.RunningTasks(jobs[0].id) == 0);
         RC_ASSERT(jobs::IsFinal(model.StateOf(jobs[0].id)));
       });
@@ -244,11 +244,11 @@
     }
     ModelFaults faults;
     faults.takeover = 0.25;
-    faults.freeze = 0.4;
-    faults.held_call = *rc::gen::inRange(0, 300) / 1000.0;
+    faults.owner_pause = 0.4;
+    faults.pause_before_call = *rc::gen::inRange(0, 300) / 1000.0;
     faults.late_call = *rc::gen::inRange(0, 150) / 1000.0;
     faults.lost_answer = *rc::gen::inRange(0, 150) / 1000.0;
-    faults.cut = *rc::gen::inRange(0, 500) / 1000.0;
+    faults.partition = *rc::gen::inRange(0, 500) / 1000.0;
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     SchedulerModel model(seed, faults, *rc::gen::inRange(5, 9), jobs);
     model.RunFor(seconds(2));
@@ -256,8 +256,8 @@
     model.RunFor(seconds(25));
     model.Heal();
     model.RunFor(seconds(60));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     RC_ASSERT(model.UpkeepsDone() > 0);
     RC_ASSERT(model.RunningTasks(lasting.id) == lasting.spec.steps[0].tasks);
   });
@@ -272,9 +272,9 @@
   const bool holds = rc::check("no start passes a room that has shrunk", [] {
     std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 8));
     ModelFaults faults;
-    faults.shrink = *rc::gen::inRange(100, 2000) / 1000.0;
+    faults.capacity_drop = *rc::gen::inRange(100, 2000) / 1000.0;
     faults.takeover = *rc::gen::inRange(0, 200) / 1000.0;
-    faults.freeze = *rc::gen::inRange(0, 100) / 1000.0;
+    faults.owner_pause = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_answer = *rc::gen::inRange(0, 150) / 1000.0;
     faults.lost_order = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_save = *rc::gen::inRange(0, 200) / 1000.0;
@@ -283,8 +283,8 @@
     model.RunFor(seconds(25));
     model.Heal();
     model.RunFor(seconds(45));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
       if (!IsLasting(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
@@ -319,8 +319,8 @@
             // comes within 6 s.
             model.RunFor(seconds(6));
             model.RunFor(seconds(5));
-            RC_LOG() << Joined(model.broken()) << model.History();
-            RC_ASSERT(model.broken().empty());
+            RC_LOG() << Joined(model.violations()) << model.History();
+            RC_ASSERT(model.violations().empty());
             RC_ASSERT(model.RunningTasks(job.id) == 0);
           });
       BOOST_TEST(holds);
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -82,16 +82,16 @@
   faults.late_order = odds(100);
   faults.lost_save = odds(200);
   faults.late_save = odds(100);
-  faults.cut = odds(300);
+  faults.partition = odds(300);
   faults.takeover = odds(200);
-  faults.freeze = odds(100);
+  faults.owner_pause = odds(100);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   auto model = std::make_unique<SchedulerModel>(seed, faults,
                                                 *rc::gen::inRange(2, 6), jobs);
   model->RunFor(seconds(25));
   model->Heal();
   model->RunFor(seconds(45));
-  RC_LOG() << Joined(model->broken()) << model->History();
+  RC_LOG() << Joined(model->violations()) << model->History();
   return model;
 }
 
@@ -203,7 +203,7 @@
   const bool holds = rc::check("tasks on restarting workers run once", [] {
     const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 7));
     const auto model = RunRestartingWorkers(jobs);
-    RC_ASSERT(model->broken().empty());
+    RC_ASSERT(model->violations().empty());
     for (const ModelJob& job : jobs) {
       RC_LOG() << job.id << " is "
                << base::NameOf(jobs::kJobStateNames, model->StateOf(job.id))
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -105,7 +105,7 @@
   worker.id = fmt::format("w{}", ++this->worker_lives);
   worker.born_ms = base::Millis(this->now);
   worker.box = box;
-  worker.capacity = kCapacity;
+  worker.capacity = kWorkerCapacity;
   worker.clock_rate = this->Chance(0.5) ? 1.0 : 0.98;
   worker.clock_offset = this->Between(0, 1'000'000);
   const scheduler::WorkerInfo info = this->InfoOf(worker);
@@ -126,7 +126,7 @@
           .capacity = worker.capacity};
 }
 
-void SchedulerModel::Darken(const std::string& job) {
+void SchedulerModel::SilenceWorkersOf(const std::string& job) {
   std::vector<std::string> ids;
   for (const auto& [id, worker] : this->workers) {
     const bool runs_it =
@@ -296,27 +296,27 @@
     if (at->second.alive)
       this->Restart(at->second);
   }
-  if (this->Chance(this->faults.shrink * a_step)) {
+  if (this->Chance(this->faults.capacity_drop * a_step)) {
     auto at = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
     const jobs::Resources whole = at->second.capacity;
-    if (at->second.alive && whole == kCapacity) {
+    if (at->second.alive && whole == kWorkerCapacity) {
       this->ChangeCapacity(
           at->first,
           {.cpu_millis = 1000, .memory_mb = whole.memory_mb / 2, .gpus = 0});
       this->After(this->Between(1000, 6000), [this, id = at->first] {
-        this->ChangeCapacity(id, kCapacity);
+        this->ChangeCapacity(id, kWorkerCapacity);
       });
     }
   }
-  if (this->Chance(this->faults.part_away * a_step)) {
+  if (this->Chance(this->faults.store_outage * a_step)) {
     auto at = std::next(
         this->jobs.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->jobs.size()));
     at->second.away_until = this->now + this->Between(1000, 6000);
   }
-  if (this->Chance(this->faults.cut * a_step)) {
+  if (this->Chance(this->faults.partition * a_step)) {
     Owner& owner = this->owners[this->random() % this->owners.size()];
     const auto at = std::next(
         this->workers.begin(),
@@ -328,7 +328,7 @@
     this->After(this->Between(500, 8000),
                 [this, index, id] { this->owners[index].cut_from.erase(id); });
   }
-  if (this->Chance(this->faults.freeze * a_step))
+  if (this->Chance(this->faults.owner_pause * a_step))
     this->owners.back().frozen_until = this->now + this->Between(1000, 6000);
   if (this->Chance(this->faults.takeover * a_step) && this->owners.size() < 6 &&
       this->is_confirming) {
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -29,24 +29,24 @@
   double late_save = 0.0;    // made 1 to 4 s later if it still fits
   // The part of the store with a job's row falls silent for 1 to 6 s, a second:
   // of the saves meanwhile half are lost, half are made once it is back.
-  double part_away = 0.0;
+  double store_outage = 0.0;
   double crash = 0.0;  // a worker's life ends, a second
   // A worker starts again under its id 20 to 1500 ms later, and knows nothing
   // of before; owners hear of it 20 to 1500 ms after that. A second.
   double restart = 0.0;
-  double cut = 0.0;  // a worker is cut from an owner, a second
+  double partition = 0.0;  // a worker is cut from an owner, a second
   // A job was handed in while a new owner read what is kept: it hears of it 20
   // to 600 ms later. Per job and takeover.
   double late_job = 0.0;
   double takeover = 0.0;  // a new owner comes, the old one lives on, a second
-  double freeze = 0.0;    // an owner stands still for 1 to 6 s, a second
+  double owner_pause = 0.0;  // an owner stands still for 1 to 6 s, a second
   double failing_run = 0.0;  // a run fails
   // A worker's capacity shrinks to a part, and is back 1 to 6 s later; owners
   // hear of each change 20 to 1500 ms after it. A second.
-  double shrink = 0.0;
+  double capacity_drop = 0.0;
   // An owner stands still for 1 to 6 s right before a call for a box leaves,
   // after its last look at whether it may: it leaves when the owner wakes.
-  double held_call = 0.0;
+  double pause_before_call = 0.0;
   // A call for a box is carried out 2 to 6 s later, and never answered.
   double late_call = 0.0;
 };
@@ -63,9 +63,9 @@
 };
 
 // Of each worker, while it has not shrunk.
-inline constexpr jobs::Resources kCapacity{.cpu_millis = 4000,
-                                           .memory_mb = 4000,
-                                           .gpus = 0};
+inline constexpr jobs::Resources kWorkerCapacity{.cpu_millis = 4000,
+                                                 .memory_mb = 4000,
+                                                 .gpus = 0};
 
 // Workers cut any grant to this, on their own clocks.
 inline constexpr base::Micros kLongestLease = std::chrono::milliseconds(8000);
@@ -87,16 +87,18 @@
   void Cancel(const std::string& job);
   // Every worker that runs a task of the job falls silent for good: nothing
   // says that its life is over. Another comes for each.
-  void Darken(const std::string& job);
+  void SilenceWorkersOf(const std::string& job);
   // The owner is confirmed no more; after the silence a new one comes.
   void TakeOver();
   // Every box is due for its upkeep, so many at a time.
-  void BeginWave(int most_at_once);
+  void BeginWave(int max_at_once);
   // Boxes that have had it.
   int UpkeepsDone() const;
 
   // What broke a promise, in words; empty: nothing.
-  const std::vector<std::string>& broken() const { return this->faults_found; }
+  const std::vector<std::string>& violations() const {
+    return this->faults_found;
+  }
   // What the owners and workers did last, for a failing test.
   std::string History() const;
   // The recorded state of a job.
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -87,8 +87,8 @@
   });
 }
 
-void SchedulerModel::BeginWave(int most_at_once) {
-  this->wave_most = most_at_once;
+void SchedulerModel::BeginWave(int max_at_once) {
+  this->wave_most = max_at_once;
   for (Owner& owner : this->owners)
     this->TellWave(*owner.scheduler);
 }
@@ -151,7 +151,7 @@
     return;
   }
   base::Micros delay = this->Between(1, 30);
-  if (this->Chance(this->faults.held_call)) {
+  if (this->Chance(this->faults.pause_before_call)) {
     owner.frozen_until = this->now + this->Between(1000, 6000);
     delay += owner.frozen_until - this->now;
   }
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -103,7 +103,7 @@
   Worker next;
   next.id = worker.id;
   next.box = worker.box;
-  next.capacity = kCapacity;
+  next.capacity = kWorkerCapacity;
   next.born_ms = base::Millis(this->now);
   next.clock_rate = worker.clock_rate;
   next.clock_offset = -base::Micros(static_cast<std::int64_t>(
