--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -16,24 +16,24 @@
 constexpr base::Micros kLease = milliseconds(5000);
 constexpr base::Micros kGrantBound = milliseconds(10'000);
 // Lines of what happened that are kept for a failing test.
-constexpr std::size_t kHistory = 120;
+constexpr std::size_t kHistoryLines = 120;
 // Another owner comes so long after the last confirmation; the last one knows
 // itself to be the owner for a little less.
-constexpr base::Micros kOwnerSilence = milliseconds(1300);
-constexpr base::Micros kOwnerCertain = milliseconds(1150);
+constexpr base::Micros kTakeoverDelay = milliseconds(1300);
+constexpr base::Micros kOwnershipValidity = milliseconds(1150);
 // Spans on clocks that differ by 2%, at most.
-constexpr double kClockSlack = 1.05;
+constexpr double kClockDriftFactor = 1.05;
 // With so many crashes under it a task may be given up (the platform's pages).
-constexpr int kCrashesOfAGivenUpTask = 2;
+constexpr int kMinCrashesToGiveUp = 2;
 
 }  // namespace
 
 SchedulerModel::SchedulerModel(std::uint64_t seed,
                                const ModelFaults& chosen,
                                int worker_count,
-                               const std::vector<ModelJob>& handed_in)
+                               const std::vector<ModelJob>& submitted)
     : random(seed), faults(chosen) {
-  for (const ModelJob& job : handed_in) {
+  for (const ModelJob& job : submitted) {
     StoredJob& stored = this->jobs[job.id];
     stored.job = job;
     stored.progress = jobs::EncodeProgress({});
@@ -42,7 +42,7 @@
   }
   for (int i = 0; i < worker_count; ++i)
     this->AddBox("pool");
-  this->Succeed();
+  this->StartNewOwner();
 }
 
 bool SchedulerModel::Chance(double odds) {
@@ -55,21 +55,22 @@
       least_ms, most_ms)(this->random));
 }
 
-void SchedulerModel::After(base::Micros delay, std::function<void()> action) {
+void SchedulerModel::ScheduleAfter(base::Micros delay,
+                                   std::function<void()> action) {
   this->events.push_back({.at = this->now + delay,
                           .order = ++this->event_count,
                           .action = std::move(action)});
 }
 
-void SchedulerModel::Broke(const std::string& what) {
-  this->faults_found.push_back(
+void SchedulerModel::ReportViolation(const std::string& what) {
+  this->violations_found.push_back(
       fmt::format("{:.2f} s: {}", base::Seconds(this->now), what));
 }
 
-void SchedulerModel::Record(const std::string& what) {
+void SchedulerModel::LogEvent(const std::string& what) {
   this->history.push_back(
       fmt::format("{:.2f} s: {}", base::Seconds(this->now), what));
-  if (this->history.size() > kHistory)
+  if (this->history.size() > kHistoryLines)
     this->history.pop_front();
 }
 
@@ -78,7 +79,8 @@
   for (const std::string& line : this->history)
     text += line + "\n";
   for (const Owner& owner : this->owners) {
-    text += fmt::format("owner {}{}\n", owner.epoch, owner.gone ? " gone" : "");
+    text += fmt::format("owner {}{}\n", owner.epoch,
+                        owner.is_fenced ? " gone" : "");
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
           "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
@@ -138,7 +140,7 @@
   for (const std::string& id : ids) {
     Worker& worker = this->workers.at(id);
     worker.alive = false;
-    worker.dark = true;
+    worker.silent = true;
     worker.running.clear();
     this->boxes.erase(worker.box);
     this->AddBox("pool");
@@ -161,35 +163,35 @@
 // Others count from when they saw the last confirmation.
 void SchedulerModel::TakeOver() {
   this->is_confirming = false;
-  this->RunFor(kOwnerSilence);
-  this->Succeed();
+  this->RunFor(kTakeoverDelay);
+  this->StartNewOwner();
 }
 
 // A new owner reads the store and knows every worker that may hold a lease.
 // The old one is not told: it acts on, unconfirmed.
-void SchedulerModel::Succeed() {
+void SchedulerModel::StartNewOwner() {
   const std::uint64_t epoch = this->owners.size() + 1;
   scheduler::Limits limits;
   limits.lease = kLease;
   limits.grant_bound = kGrantBound;
   limits.longest_grant = base::Micros(static_cast<std::int64_t>(
-      static_cast<double>(kLease.count()) * kClockSlack));
+      static_cast<double>(kLease.count()) * kClockDriftFactor));
   limits.longest_lease = base::Micros(static_cast<std::int64_t>(
-      static_cast<double>(kLongestLease.count()) * kClockSlack));
+      static_cast<double>(kLongestLease.count()) * kClockDriftFactor));
   limits.stop_time = milliseconds(400);
   limits.epoch = epoch;
   limits.fleet = {.move_time = kMoveTime, .upkeep_time = kUpkeepTime};
   Owner owner;
   owner.epoch = epoch;
   owner.scheduler = std::make_unique<scheduler::Scheduler>(limits);
-  scheduler::Scheduler& made = *owner.scheduler;
+  scheduler::Scheduler& successor = *owner.scheduler;
   const auto bound = base::Micros(static_cast<std::int64_t>(
-      static_cast<double>(kGrantBound.count()) * kClockSlack));
+      static_cast<double>(kGrantBound.count()) * kClockDriftFactor));
   this->calls_epoch = epoch;
   std::vector<scheduler::BoxCall> open;
   for (const auto& [box, call] : this->calls)
     open.push_back(call);
-  made.InheritBoxCalls(open, this->now);
+  successor.InheritBoxCalls(open, this->now);
   for (const auto& [id, worker] : this->workers) {
     const scheduler::WorkerInfo info = this->InfoOf(worker);
     const auto lease = this->leases.find(id);
@@ -200,14 +202,14 @@
         until = this->last_confirmed + bound;
       scheduler::WorkerInfo held = info;
       held.life = lease->second.life;
-      made.InheritWorker(held, *until);
+      successor.InheritWorker(held, *until);
     }
-    if (!worker.dark && worker.announced)
-      made.PutWorker(info, this->now);
+    if (!worker.silent && worker.announced)
+      successor.PutWorker(info, this->now);
   }
   jobs::Config config;
   config.services = {{.name = "pool"}, {.name = "other"}};
-  made.SetConfig(config, this->now);
+  successor.SetConfig(config, this->now);
   const std::size_t index = this->owners.size();
   for (const auto& [id, stored] : this->jobs) {
     jobs::Progress progress = jobs::DecodeProgress(stored.progress).value();
@@ -215,17 +217,18 @@
     if (progress.IsOver())
       continue;
     if (this->Chance(this->faults.late_job)) {
-      this->After(this->Between(20, 600),
-                  [this, index, job = id] { this->BringJob(index, job); });
+      this->ScheduleAfter(this->Between(20, 600), [this, index, job = id] {
+        this->DeliverJobFromFeed(index, job);
+      });
       continue;
     }
-    scheduler::Job job = this->Make(id, std::move(progress));
+    scheduler::Job job = this->MakeJob(id, std::move(progress));
     job.version = stored.version;
-    made.AddJob(std::move(job), this->now);
+    successor.AddJob(std::move(job), this->now);
     if (stored.cancelled)
-      made.CancelJob(id, this->now);
+      successor.CancelJob(id, this->now);
   }
-  this->TellWave(made);
+  this->SendWave(successor);
   this->owners.push_back(std::move(owner));
   this->is_confirming = true;
   this->Confirm();
@@ -239,7 +242,7 @@
 
 void SchedulerModel::Step() {
   this->now += kStep;
-  this->Disturb();
+  this->InjectFaults();
   // Due messages, in order of time.
   std::vector<Event> due;
   std::erase_if(this->events, [&](Event& event) {
@@ -255,85 +258,88 @@
     event.action();
   for (auto& [id, worker] : this->workers) {
     if (worker.alive)
-      this->WorkOn(worker);
+      this->AdvanceRuns(worker);
   }
   this->ReturnBoxes();
-  this->NotePresence();
+  this->UpdatePresence();
   this->Confirm();
-  this->ForgetSettledCalls();
+  this->EraseSettledCalls();
   for (std::size_t i = 0; i < this->owners.size(); ++i)
-    this->Act(i);
+    this->RunOwner(i);
 }
 
 // Only the newest owner is confirmed by the store.
 void SchedulerModel::Confirm() {
   Owner& owner = this->owners.back();
-  if (!this->is_confirming || this->now < owner.frozen_until || owner.gone)
+  if (!this->is_confirming || this->now < owner.paused_until || owner.is_fenced)
     return;
   this->last_confirmed = this->now;
-  owner.certain_until = this->now + kOwnerCertain;
+  owner.certain_until = this->now + kOwnershipValidity;
   owner.scheduler->Confirmed(this->now, owner.certain_until);
 }
 
-void SchedulerModel::Disturb() {
-  const double a_step = base::Seconds(kStep);
-  if (this->Chance(this->faults.crash * a_step)) {
-    auto at = std::next(
+void SchedulerModel::InjectFaults() {
+  const double step_seconds = base::Seconds(kStep);
+  if (this->Chance(this->faults.crash * step_seconds)) {
+    auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    if (at->second.alive) {
-      this->CountLosses(at->second);
-      at->second.alive = false;
-      at->second.running.clear();
-      this->boxes.erase(at->second.box);
+    if (picked->second.alive) {
+      this->CountLosses(picked->second);
+      picked->second.alive = false;
+      picked->second.running.clear();
+      this->boxes.erase(picked->second.box);
       this->AddBox("pool");
     }
   }
-  if (this->Chance(this->faults.restart * a_step)) {
-    auto at = std::next(
+  if (this->Chance(this->faults.restart * step_seconds)) {
+    auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    if (at->second.alive)
-      this->Restart(at->second);
+    if (picked->second.alive)
+      this->Restart(picked->second);
   }
-  if (this->Chance(this->faults.capacity_drop * a_step)) {
-    auto at = std::next(
+  if (this->Chance(this->faults.capacity_drop * step_seconds)) {
+    auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    const jobs::Resources whole = at->second.capacity;
-    if (at->second.alive && whole == kWorkerCapacity) {
-      this->ChangeCapacity(
-          at->first,
-          {.cpu_millis = 1000, .memory_mb = whole.memory_mb / 2, .gpus = 0});
-      this->After(this->Between(1000, 6000), [this, id = at->first] {
-        this->ChangeCapacity(id, kWorkerCapacity);
-      });
+    const jobs::Resources full_capacity = picked->second.capacity;
+    if (picked->second.alive && full_capacity == kWorkerCapacity) {
+      this->ChangeCapacity(picked->first,
+                           {.cpu_millis = 1000,
+                            .memory_mb = full_capacity.memory_mb / 2,
+                            .gpus = 0});
+      this->ScheduleAfter(this->Between(1000, 6000),
+                          [this, id = picked->first] {
+                            this->ChangeCapacity(id, kWorkerCapacity);
+                          });
     }
   }
-  if (this->Chance(this->faults.store_outage * a_step)) {
-    auto at = std::next(
+  if (this->Chance(this->faults.store_outage * step_seconds)) {
+    auto picked = std::next(
         this->jobs.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->jobs.size()));
-    at->second.away_until = this->now + this->Between(1000, 6000);
+    picked->second.unavailable_until = this->now + this->Between(1000, 6000);
   }
-  if (this->Chance(this->faults.partition * a_step)) {
+  if (this->Chance(this->faults.partition * step_seconds)) {
     Owner& owner = this->owners[this->random() % this->owners.size()];
-    const auto at = std::next(
+    const auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    const std::string id = at->first;
-    owner.cut_from.insert(id);
+    const std::string id = picked->first;
+    owner.partitioned_from.insert(id);
     const std::size_t index =
         static_cast<std::size_t>(&owner - this->owners.data());
-    this->After(this->Between(500, 8000),
-                [this, index, id] { this->owners[index].cut_from.erase(id); });
+    this->ScheduleAfter(this->Between(500, 8000), [this, index, id] {
+      this->owners[index].partitioned_from.erase(id);
+    });
   }
-  if (this->Chance(this->faults.owner_pause * a_step))
-    this->owners.back().frozen_until = this->now + this->Between(1000, 6000);
-  if (this->Chance(this->faults.takeover * a_step) && this->owners.size() < 6 &&
-      this->is_confirming) {
+  if (this->Chance(this->faults.owner_pause * step_seconds))
+    this->owners.back().paused_until = this->now + this->Between(1000, 6000);
+  if (this->Chance(this->faults.takeover * step_seconds) &&
+      this->owners.size() < 6 && this->is_confirming) {
     this->is_confirming = false;
-    this->After(kOwnerSilence, [this] { this->Succeed(); });
+    this->ScheduleAfter(kTakeoverDelay, [this] { this->StartNewOwner(); });
   }
 }
 
@@ -344,9 +350,9 @@
   worker.earlier_capacity = worker.capacity;
   worker.capacity_changed = this->now;
   worker.capacity = capacity;
-  this->Record(fmt::format("{} has {} thousandths of a core now", id,
-                           capacity.cpu_millis));
-  this->After(this->Between(20, 1500), [this, id] {
+  this->LogEvent(fmt::format("{} has {} thousandths of a core now", id,
+                             capacity.cpu_millis));
+  this->ScheduleAfter(this->Between(20, 1500), [this, id] {
     const Worker& there = this->workers.at(id);
     if (!there.alive || !there.announced)
       return;
@@ -358,8 +364,8 @@
 void SchedulerModel::Heal() {
   this->faults = {};
   for (Owner& owner : this->owners) {
-    owner.cut_from.clear();
-    owner.frozen_until = {};
+    owner.partitioned_from.clear();
+    owner.paused_until = {};
   }
 }
 
@@ -369,9 +375,9 @@
     owner.scheduler->CancelJob(job, this->now);
 }
 
-void SchedulerModel::Act(std::size_t index) {
+void SchedulerModel::RunOwner(std::size_t index) {
   Owner& owner = this->owners[index];
-  if (this->now < owner.frozen_until || owner.gone)
+  if (this->now < owner.paused_until || owner.is_fenced)
     return;
   this->ListBoxes(index);
   // A stale owner's list is refused for the newer one's epoch in it.
@@ -379,12 +385,13 @@
     this->RecordListed(owner);
   owner.scheduler->Advance(this->now);
   for (const scheduler::Action& action : owner.scheduler->TakeActions())
-    this->Carry(index, action);
+    this->Dispatch(index, action);
   if (owner.scheduler->fenced())
-    owner.gone = true;
+    owner.is_fenced = true;
 }
 
-void SchedulerModel::Carry(std::size_t owner, const scheduler::Action& action) {
+void SchedulerModel::Dispatch(std::size_t owner,
+                              const scheduler::Action& action) {
   if (const auto* start = std::get_if<scheduler::StartRun>(&action))
     this->SendStart(owner, *start);
   else if (const auto* stop = std::get_if<scheduler::StopRun>(&action))
@@ -396,25 +403,25 @@
   else if (const auto* read = std::get_if<scheduler::ReadJob>(&action))
     this->ReadJob(owner, read->job);
   else if (const auto* move = std::get_if<scheduler::MoveBox>(&action))
-    this->Record(owner, *move);
+    this->RecordCall(owner, *move);
   else if (const auto* upkeep = std::get_if<scheduler::UpkeepBox>(&action))
-    this->Record(owner, *upkeep);
+    this->RecordCall(owner, *upkeep);
   else if (const auto* lost = std::get_if<scheduler::WorkerLost>(&action))
-    this->Record(fmt::format(
+    this->LogEvent(fmt::format(
         "owner {}: {} is lost ({}) with {} runs", this->owners[owner].epoch,
         lost->worker.id, base::NameOf(scheduler::kLossSignNames, lost->sign),
         lost->runs.size()));
   else if (const auto* again = std::get_if<scheduler::WorkerRestarted>(&action))
-    this->Record(fmt::format(
+    this->LogEvent(fmt::format(
         "owner {}: {} has started again, {} runs may be there",
         this->owners[owner].epoch, again->worker.id, again->moved_runs));
   else if (const auto* task = std::get_if<scheduler::TaskGivenUp>(&action))
-    this->Record(fmt::format("owner {}: {} {}.{} is given up",
-                             this->owners[owner].epoch, task->job,
-                             task->task.step.step, task->task.index));
+    this->LogEvent(fmt::format("owner {}: {} {}.{} is given up",
+                               this->owners[owner].epoch, task->job,
+                               task->task.step.step, task->task.index));
   else if (const auto* note = std::get_if<scheduler::Note>(&action))
-    this->Record(fmt::format("owner {}: {}: {}", this->owners[owner].epoch,
-                             note->subject, note->text));
+    this->LogEvent(fmt::format("owner {}: {}: {}", this->owners[owner].epoch,
+                               note->subject, note->text));
 }
 
 // --- What came of it ---
@@ -425,10 +432,9 @@
 
 int SchedulerModel::TasksThatMayBeGivenUp(const std::string& job) const {
   const auto& lost = this->jobs.at(job).lost_workers;
-  return static_cast<int>(
-      std::count_if(lost.begin(), lost.end(), [](const auto& entry) {
-        return entry.second >= kCrashesOfAGivenUpTask;
-      }));
+  return static_cast<int>(std::count_if(
+      lost.begin(), lost.end(),
+      [](const auto& entry) { return entry.second >= kMinCrashesToGiveUp; }));
 }
 
 int SchedulerModel::RunningTasks(const std::string& job) const {
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -97,7 +97,7 @@
 
   // What broke a promise, in words; empty: nothing.
   const std::vector<std::string>& violations() const {
-    return this->faults_found;
+    return this->violations_found;
   }
   // What the owners and workers did last, for a failing test.
   std::string History() const;
@@ -126,19 +126,20 @@
     jobs::Resources earlier_capacity;  // before the newest change
     base::Micros capacity_changed{};
     bool alive = true;
-    bool dark = false;  // dead, and nothing answers in its place
+    bool silent = false;  // dead, and nothing answers in its place
     // Dead, and its box is back with another life from then on.
-    std::optional<base::Micros> reborn_at;
+    std::optional<base::Micros> replaced_at;
     std::int64_t born_ms = 0;  // the start of this life
     // Dead, and it starts again under its id soon.
     bool restarting = false;
     bool announced = true;
     double clock_rate = 1.0;  // up to 2% slow
     base::Micros clock_offset{};
-    std::uint64_t epoch = 0;  // highest seen
-    base::Micros deadline{};  // on its own clock
+    std::uint64_t epoch = 0;        // highest seen
+    base::Micros lease_deadline{};  // on its own clock
     std::map<jobs::TaskId, WorkerRun> running;
-    std::map<jobs::TaskId, int> over;  // highest run that ended or was stopped
+    std::map<jobs::TaskId, int>
+        highest_over_run;  // highest run that ended or was stopped
     std::vector<scheduler::ListedEnd> ends;
     std::int64_t last_number = 0;
     std::int64_t acknowledged = 0;
@@ -149,9 +150,10 @@
     std::uint64_t version = 0;
     std::uint64_t first_version = 0;  // as it was handed in
     bool cancelled = false;
-    base::Micros away_until{};            // its row's part of the store
-    std::set<scheduler::TaskPlace> done;  // noted ends, as workers saw them
-    std::map<scheduler::TaskPlace, int> failed;   // noted
+    base::Micros unavailable_until{};  // its row's part of the store
+    std::set<scheduler::TaskPlace>
+        recorded_done;  // noted ends, as workers saw them
+    std::map<scheduler::TaskPlace, int> recorded_failures;  // noted
     std::set<scheduler::TaskPlace> ever_done;     // ended as done, noted or not
     std::map<scheduler::TaskPlace, int> crashes;  // of workers that started it
     std::map<scheduler::TaskPlace, int> starts_since_third_crash;
@@ -162,7 +164,7 @@
   struct Box {
     std::string pool;
     scheduler::BoxState state = scheduler::BoxState::kUp;
-    base::Micros back{};
+    base::Micros available_at{};
     std::uint64_t epoch = 0;  // highest seen
     bool had_upkeep = false;
   };
@@ -174,11 +176,11 @@
   struct Owner {
     std::unique_ptr<scheduler::Scheduler> scheduler;
     std::uint64_t epoch = 0;
-    base::Micros frozen_until{};
+    base::Micros paused_until{};
     base::Micros certain_until{};
     base::Micros next_list{};
-    std::set<std::string> cut_from;  // workers
-    bool gone = false;
+    std::set<std::string> partitioned_from;  // workers
+    bool is_fenced = false;
   };
   struct Event {
     base::Micros at{};
@@ -188,42 +190,42 @@
 
   bool Chance(double odds);
   base::Micros Between(std::int64_t least_ms, std::int64_t most_ms);
-  void After(base::Micros delay, std::function<void()> action);
+  void ScheduleAfter(base::Micros delay, std::function<void()> action);
   void Step();
-  void Disturb();
+  void InjectFaults();
   void AddWorker(const std::string& box);
   // On a box of its own.
   void AddBox(const std::string& pool);
   scheduler::WorkerInfo InfoOf(const Worker& worker) const;
   void Confirm();
-  void Succeed();
+  void StartNewOwner();
   // boxes
   void ReturnBoxes();
   void ListBoxes(std::size_t owner);
-  void TellWave(scheduler::Scheduler& owner) const;
-  void ForgetSettledCalls();
-  void Record(std::size_t owner, const scheduler::BoxCall& call);
-  void Call(std::size_t owner, const scheduler::BoxCall& call);
-  void CarryOut(std::size_t owner,
-                const scheduler::BoxCall& call,
-                bool is_answered);
-  scheduler::BoxCallOutcome Move(const scheduler::MoveBox& call);
-  scheduler::BoxCallOutcome Upkeep(const scheduler::UpkeepBox& call);
-  void Answer(std::size_t owner,
-              const scheduler::BoxCall& call,
-              scheduler::BoxCallOutcome outcome);
-  void Take(const std::string& box,
-            scheduler::BoxState state,
-            base::Micros span);
-  void JudgeAway(const jobs::TaskId& task, const std::string& by);
-  void NotePresence();
+  void SendWave(scheduler::Scheduler& owner) const;
+  void EraseSettledCalls();
+  void RecordCall(std::size_t owner, const scheduler::BoxCall& call);
+  void SendCall(std::size_t owner, const scheduler::BoxCall& call);
+  void ExecuteCall(std::size_t owner,
+                   const scheduler::BoxCall& call,
+                   bool is_answered);
+  scheduler::BoxCallOutcome ExecuteMove(const scheduler::MoveBox& call);
+  scheduler::BoxCallOutcome ExecuteUpkeep(const scheduler::UpkeepBox& call);
+  void DeliverCallOutcome(std::size_t owner,
+                          const scheduler::BoxCall& call,
+                          scheduler::BoxCallOutcome outcome);
+  void ShutDownBox(const std::string& box,
+                   scheduler::BoxState state,
+                   base::Micros span);
+  void CheckDisruption(const jobs::TaskId& task, const std::string& by);
+  void UpdatePresence();
   void RecordListed(Owner& owner);
-  scheduler::Job Make(const std::string& id, jobs::Progress progress) const;
+  scheduler::Job MakeJob(const std::string& id, jobs::Progress progress) const;
   // The feed brings a job as it was handed in.
-  void BringJob(std::size_t owner, const std::string& id);
+  void DeliverJobFromFeed(std::size_t owner, const std::string& id);
   void ReadJob(std::size_t owner, const std::string& id);
-  void Act(std::size_t owner);
-  void Carry(std::size_t owner, const scheduler::Action& action);
+  void RunOwner(std::size_t owner);
+  void Dispatch(std::size_t owner, const scheduler::Action& action);
   void SendStart(std::size_t owner, const scheduler::StartRun& order);
   void SendStop(std::size_t owner, const scheduler::StopRun& order);
   void SendLook(std::size_t owner, const scheduler::LookAt& order);
@@ -236,23 +238,23 @@
                                    const scheduler::StartRun& order,
                                    std::uint64_t epoch,
                                    base::Micros deadline);
-  void JudgeStart(const Worker& worker, const scheduler::StartRun& order);
-  void JudgeCrashes(const scheduler::StartRun& order);
-  void CrashLater(const Worker& worker, const scheduler::StartRun& order);
-  void EndLife(Worker& worker);
+  void CheckStart(const Worker& worker, const scheduler::StartRun& order);
+  void CheckCrashLimit(const scheduler::StartRun& order);
+  void ScheduleCrash(const Worker& worker, const scheduler::StartRun& order);
+  void CrashWorker(Worker& worker);
   void CountLosses(const Worker& worker);
   void Restart(Worker& worker);
   void BeginNextLife(Worker& worker);
   void ChangeCapacity(const std::string& id, const jobs::Resources& capacity);
   void EndRun(Worker& worker, const jobs::TaskId& task, scheduler::RunEnd how);
-  void WorkOn(Worker& worker);
-  void Note(Worker& worker, std::int64_t acknowledged);
+  void AdvanceRuns(Worker& worker);
+  void AcknowledgeEnds(Worker& worker, std::int64_t acknowledged);
   // A start or a look grants a lease.
-  void Grant(Worker& worker, base::Micros deadline) const;
+  void GrantLease(Worker& worker, base::Micros deadline) const;
   base::Micros ClockOf(const Worker& worker) const;
   scheduler::Listing ListingOf(const Worker& worker) const;
-  void Broke(const std::string& what);
-  void Record(const std::string& what);
+  void ReportViolation(const std::string& what);
+  void LogEvent(const std::string& what);
 
   std::mt19937_64 random;
   ModelFaults faults;
@@ -271,17 +273,17 @@
   std::uint64_t event_count = 0;
   std::uint64_t version = 1;
   std::map<std::string, Box> boxes;
-  int wave_most = 0;  // 0: no wave
+  int wave_limit = 0;  // 0: no wave
   // The row of calls for boxes: the owner that claimed it, and what it holds.
   std::uint64_t calls_epoch = 0;
   std::map<std::string, scheduler::BoxCall> calls;
-  std::map<jobs::TaskId, Presence> lasting;
+  std::map<jobs::TaskId, Presence> presence;
   bool is_confirming = true;  // the newest owner
   base::Micros last_confirmed{};
   int worker_lives = 0;
   int start_count = 0;
   int crash_count = 0;
-  std::vector<std::string> faults_found;
+  std::vector<std::string> violations_found;
   std::deque<std::string> history;
 };
 
--- a/testing/scheduler_model_messages.cc
+++ b/testing/scheduler_model_messages.cc
@@ -24,16 +24,17 @@
     const std::function<void(OrderOutcome)>& answer) {
   const auto answer_after = [this, index, answer](base::Micros delay,
                                                   OrderOutcome outcome) {
-    this->After(delay, [this, index, answer, outcome] {
+    this->ScheduleAfter(delay, [this, index, answer, outcome] {
       // A frozen owner reads its answers when it thaws.
-      const base::Micros thaw = this->owners[index].frozen_until;
-      if (this->now < thaw)
-        this->After(thaw - this->now, [answer, outcome] { answer(outcome); });
+      const base::Micros resume_at = this->owners[index].paused_until;
+      if (this->now < resume_at)
+        this->ScheduleAfter(resume_at - this->now,
+                            [answer, outcome] { answer(outcome); });
       else
         answer(outcome);
     });
   };
-  const bool is_cut = this->owners[index].cut_from.contains(id);
+  const bool is_partitioned = this->owners[index].partitioned_from.contains(id);
   const auto found = this->workers.find(id);
   const bool is_dead = found == this->workers.end() || !found->second.alive;
   if (is_dead) {
@@ -42,19 +43,19 @@
       return;
     }
     // Nobody listens at the address until the box is back.
-    if (found != this->workers.end() && found->second.reborn_at) {
-      answer_after(milliseconds(5), this->now < *found->second.reborn_at
+    if (found != this->workers.end() && found->second.replaced_at) {
+      answer_after(milliseconds(5), this->now < *found->second.replaced_at
                                         ? OrderOutcome::kNotSent
                                         : OrderOutcome::kOtherLife);
       return;
     }
-    const bool silent = found != this->workers.end() && found->second.dark;
+    const bool silent = found != this->workers.end() && found->second.silent;
     answer_after(milliseconds(5), silent || this->Chance(0.5)
                                       ? OrderOutcome::kUnknown
                                       : OrderOutcome::kOtherLife);
     return;
   }
-  if (is_cut || this->Chance(this->faults.lost_order)) {
+  if (is_partitioned || this->Chance(this->faults.lost_order)) {
     answer_after(kOrderTimeout, OrderOutcome::kUnknown);
     return;
   }
@@ -65,8 +66,8 @@
   if (lost)
     answer_after(kOrderTimeout, OrderOutcome::kUnknown);
   // What is on its way to a life is lost with it.
-  this->After(delay, [this, id, carry_out, lost, answer_after,
-                      born = found->second.born_ms] {
+  this->ScheduleAfter(delay, [this, id, carry_out, lost, answer_after,
+                              born = found->second.born_ms] {
     Worker& worker = this->workers.at(id);
     if (!worker.alive || worker.born_ms != born) {
       if (!lost)
@@ -81,15 +82,16 @@
 
 void SchedulerModel::SendStart(std::size_t index,
                                const scheduler::StartRun& order) {
-  scheduler::Scheduler& by = *this->owners[index].scheduler;
-  const base::Micros end = by.LeaseEnd(this->now);
-  const base::Micros deadline = milliseconds(by.Deadline(order.worker, end));
+  scheduler::Scheduler& sender = *this->owners[index].scheduler;
+  const base::Micros end = sender.LeaseEnd(this->now);
+  const base::Micros deadline =
+      milliseconds(sender.Deadline(order.worker, end));
   if (deadline <= base::Micros::zero() || end <= this->now ||
-      !by.StillWanted(order)) {
-    by.Started(order, OrderOutcome::kNotSent, this->now);
+      !sender.StillWanted(order)) {
+    sender.Started(order, OrderOutcome::kNotSent, this->now);
     return;
   }
-  by.Granted(order.worker, end);
+  sender.Granted(order.worker, end);
   const std::uint64_t epoch = this->owners[index].epoch;
   auto clock = std::make_shared<base::Micros>();
   this->Deliver(
@@ -113,12 +115,12 @@
         if (epoch < worker.epoch)
           return OrderOutcome::kFenced;
         worker.epoch = epoch;
-        int& over = worker.over[order.task];
+        int& over = worker.highest_over_run[order.task];
         over = std::max(over, order.run);
         const auto run = worker.running.find(order.task);
         if (run != worker.running.end() && run->second.number == order.run &&
             !run->second.stopping) {
-          this->JudgeAway(order.task, "a stop");
+          this->CheckDisruption(order.task, "a stop");
           run->second.stopping = true;
           run->second.ends = this->now + this->Between(0, 380);
         }
@@ -131,14 +133,14 @@
 
 void SchedulerModel::SendLook(std::size_t index,
                               const scheduler::LookAt& order) {
-  scheduler::Scheduler& by = *this->owners[index].scheduler;
-  const base::Micros end = by.LeaseEnd(this->now);
+  scheduler::Scheduler& sender = *this->owners[index].scheduler;
+  const base::Micros end = sender.LeaseEnd(this->now);
   const base::Micros deadline =
-      order.renews ? milliseconds(by.Deadline(order.worker, end))
+      order.renews ? milliseconds(sender.Deadline(order.worker, end))
                    : milliseconds(0);
-  by.LookSent(order, this->now);
+  sender.LookSent(order, this->now);
   if (deadline > base::Micros::zero())
-    by.LookGrants(order.worker, end);
+    sender.LookGrants(order.worker, end);
   const std::uint64_t epoch = this->owners[index].epoch;
   auto listing = std::make_shared<scheduler::Listing>();
   this->Deliver(
@@ -147,8 +149,8 @@
         if (epoch < worker.epoch)
           return OrderOutcome::kFenced;
         worker.epoch = epoch;
-        this->Grant(worker, deadline);
-        this->Note(worker, order.acknowledged);
+        this->GrantLease(worker, deadline);
+        this->AcknowledgeEnds(worker, order.acknowledged);
         *listing = this->ListingOf(worker);
         return OrderOutcome::kDone;
       },
--- a/testing/scheduler_model_store.cc
+++ b/testing/scheduler_model_store.cc
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-scheduler::Job SchedulerModel::Make(const std::string& id,
-                                    jobs::Progress progress) const {
+scheduler::Job SchedulerModel::MakeJob(const std::string& id,
+                                       jobs::Progress progress) const {
   const ModelJob& job = this->jobs.at(id).job;
   jobs::Queue queue;
   queue.name = "queue";
@@ -26,9 +26,10 @@
                             {});
 }
 
-void SchedulerModel::BringJob(std::size_t index, const std::string& id) {
+void SchedulerModel::DeliverJobFromFeed(std::size_t index,
+                                        const std::string& id) {
   const StoredJob& stored = this->jobs.at(id);
-  scheduler::Job job = this->Make(id, {});
+  scheduler::Job job = this->MakeJob(id, {});
   job.version = stored.first_version;
   scheduler::Scheduler& owner = *this->owners[index].scheduler;
   owner.AddJob(std::move(job), this->now);
@@ -37,7 +38,7 @@
 }
 
 void SchedulerModel::ReadJob(std::size_t index, const std::string& id) {
-  this->After(this->Between(5, 300), [this, index, id] {
+  this->ScheduleAfter(this->Between(5, 300), [this, index, id] {
     scheduler::Scheduler& owner = *this->owners[index].scheduler;
     const StoredJob& stored = this->jobs.at(id);
     jobs::Progress progress = jobs::DecodeProgress(stored.progress).value();
@@ -45,7 +46,7 @@
       owner.JobIsOver(id, this->now);
       return;
     }
-    scheduler::Job job = this->Make(id, std::move(progress));
+    scheduler::Job job = this->MakeJob(id, std::move(progress));
     job.version = stored.version;
     owner.AddJob(std::move(job), this->now);
     if (stored.cancelled)
@@ -72,7 +73,8 @@
   const auto answer = [this, index](const scheduler::SaveResult& result) {
     this->owners[index].scheduler->Saved(result, this->now);
   };
-  const base::Micros away_for = this->jobs.at(save.job).away_until - this->now;
+  const base::Micros away_for =
+      this->jobs.at(save.job).unavailable_until - this->now;
   const bool away = away_for > base::Micros::zero();
   const bool late = this->Chance(this->faults.late_save);
   const bool lost = away || late || this->Chance(this->faults.lost_save);
@@ -81,11 +83,12 @@
     delay += away_for;
   if (lost) {
     const scheduler::SaveResult unknown{.job = save.job, .change = save.change};
-    this->After(milliseconds(1500), [answer, unknown] { answer(unknown); });
+    this->ScheduleAfter(milliseconds(1500),
+                        [answer, unknown] { answer(unknown); });
   }
   if (away && this->Chance(0.5))
     return;
-  this->After(delay, [this, write, answer, lost, kept] {
+  this->ScheduleAfter(delay, [this, write, answer, lost, kept] {
     const bool written = write();
     const StoredJob& stored = this->jobs.at(kept.job);
     const platform::Row there{
@@ -98,7 +101,8 @@
         .version = stored.version};
     const auto result = entry::SaveResultOf(kept, outcome, &there);
     if (!lost)
-      this->After(milliseconds(3), [answer, result] { answer(result); });
+      this->ScheduleAfter(milliseconds(3),
+                          [answer, result] { answer(result); });
   });
 }
 
