--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -17,18 +17,18 @@
 // Several may be the cause: more than one is watched, or another owner placed
 // some, and what it had seen of them is not known.
 bool HasOtherSuspects(const std::map<jobs::TaskId, Run>& runs) {
-  int watched = 0;
+  int suspected = 0;
   for (const auto& [task, run] : runs) {
     if (run.state == RunState::kInherited)
       return true;
-    watched += run.suspicion != Suspicion::kNone;
+    suspected += run.suspicion != Suspicion::kNone;
   }
-  return watched > 1;
+  return suspected > 1;
 }
 
 // For how long, at least, the run was on the worker by what that has listed. An
 // owner that stood still reads an old listing late: it counts from its asking.
-base::Micros HeardRunning(const Run& run, const Worker& worker) {
+base::Micros ConfirmedRunTime(const Run& run, const Worker& worker) {
   if (run.answered == base::Micros::zero())
     return {};
   return std::max(worker.listed_sent - run.answered, base::Micros::zero());
@@ -36,16 +36,16 @@
 
 // The worker has told of the run; or an earlier owner placed it, and did not
 // live to note more than that.
-bool WasSeen(const Job& job,
-             const TaskPlace& place,
-             const Worker& worker,
-             const Run& run) {
+bool WasReported(const Job& job,
+                 const TaskPlace& place,
+                 const Worker& worker,
+                 const Run& run) {
   if (run.answered > base::Micros::zero())
     return true;
   const auto known = job.progress.losses.find(KeyOf(place));
-  const bool is_noted = known != job.progress.losses.end() &&
-                        known->second.contains(worker.info.life);
-  return run.state == RunState::kInherited && !is_noted;
+  const bool is_recorded = known != job.progress.losses.end() &&
+                           known->second.contains(worker.info.life);
+  return run.state == RunState::kInherited && !is_recorded;
 }
 
 bool HasLastingStep(const Job& job) {
@@ -75,10 +75,10 @@
   const bool has_crashed =
       (sign == LossSign::kOtherLife || sign == LossSign::kRestarted) &&
       !worker.has_withdrawn();
-  const bool leaves_doubt = HasOtherSuspects(runs);
+  const bool has_other_suspects = HasOtherSuspects(runs);
   for (const auto& [id, run] : runs) {
     const Job* job = this->FindJob(id.job);
-    const base::Micros ran = HeardRunning(run, worker);
+    const base::Micros ran = ConfirmedRunTime(run, worker);
     // A lasting task that was at work for long is not what ended its worker.
     const bool may_be_cause = run.state != RunState::kPlanned &&
                               !(run.lasting && ran >= kStartupCrashWindow);
@@ -87,12 +87,12 @@
     const bool was_alone =
         ran < kStartupCrashWindow &&
         (runs.size() == 1 ||
-         (run.suspicion >= Suspicion::kProbe && !leaves_doubt));
+         (run.suspicion >= Suspicion::kProbe && !has_other_suspects));
     losses[id] = {.run = run.number,
                   .box = worker.info.box,
                   .has_crashed = has_crashed,
                   .was_alone = was_alone,
-                  .was_seen = WasSeen(*job, PlaceOf(id), worker, run)};
+                  .was_seen = WasReported(*job, PlaceOf(id), worker, run)};
   }
   return losses;
 }
@@ -251,7 +251,7 @@
 void Scheduler::GiveUpCauses(Job& job, base::Micros now) {
   if (job.finished())
     return;
-  const bool serves_on = HasLastingStep(job);
+  const bool keeps_running = HasLastingStep(job);
   for (const auto& [key, losses] : job.progress.losses) {
     const TaskPlace place = PlaceOfKey(key);
     if (!Exists(job, place))
@@ -259,12 +259,12 @@
     Task& task = TaskAt(job, place);
     const bool may_start =
         task.state == TaskState::kReady || task.state == TaskState::kBlocked;
-    if ((serves_on && !may_start) || task.state == TaskState::kGivenUp ||
+    if ((keeps_running && !may_start) || task.state == TaskState::kGivenUp ||
         this->SuspicionOf(job, place, now) != Suspicion::kGiveUp)
       continue;
     this->actions.emplace_back(
         TaskGivenUp{.job = job.id, .task = key, .losses = losses});
-    if (serves_on) {
+    if (keeps_running) {
       task.state = TaskState::kGivenUp;
       continue;
     }
@@ -275,7 +275,7 @@
 
 // It is listed as running: what lives on has not crashed its worker.
 void Scheduler::WatchSuspect(Worker& worker, const jobs::TaskId& id, Run& run) {
-  const base::Micros ran = HeardRunning(run, worker);
+  const base::Micros ran = ConfirmedRunTime(run, worker);
   if (run.suspicion != Suspicion::kNone && ran >= kSuspectWatchTime)
     ClearSuspicion(worker, run);
   if (!run.lasting || ran < kStartupCrashWindow)
