--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -49,14 +49,14 @@
 //   34.863 run_started run 1006     34.876 does not answer (unknown)
 // Between 28.23 and 31.27 s five of the company ran elsewhere, unharmed.
 BOOST_AUTO_TEST_CASE(TaskThatCrashesItsWorkersIsGivenUp) {
-  ModelJob guilty = MakeJob("guilty", 4);
-  guilty.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
-  const std::vector<ModelJob> jobs = {guilty, MakeJob("beside", 2),
+  ModelJob crashing_job = MakeJob("crashing", 4);
+  crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
+  const std::vector<ModelJob> jobs = {crashing_job, MakeJob("beside", 2),
                                       MakeJob("other", 5)};
   SchedulerModel model(1, {}, 5, jobs);
   model.RunFor(seconds(60));
   BOOST_TEST(Joined(model.violations()) == "");
-  BOOST_CHECK(model.StateOf("guilty") == jobs::JobState::kFailed);
+  BOOST_CHECK(model.StateOf("crashing") == jobs::JobState::kFailed);
   BOOST_CHECK(model.StateOf("beside") == jobs::JobState::kCompleted);
   BOOST_CHECK(model.StateOf("other") == jobs::JobState::kCompleted);
   BOOST_TEST(model.crashed_workers() <= 3);
@@ -65,15 +65,15 @@
 // What one owner knows of crashes, the next one goes by: each of them has seen
 // one or two, and none of them three.
 BOOST_AUTO_TEST_CASE(CrashesThatEarlierOwnersSawCount) {
-  ModelJob guilty = MakeJob("guilty", 1);
-  guilty.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
-  SchedulerModel model(1, {}, 5, {guilty, MakeJob("other", 5)});
+  ModelJob crashing_job = MakeJob("crashing", 1);
+  crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
+  SchedulerModel model(1, {}, 5, {crashing_job, MakeJob("other", 5)});
   for (int i = 0; i < 10; ++i) {
     model.RunFor(seconds(4));
     model.TakeOver();
   }
   BOOST_TEST(Joined(model.violations()) == "");
-  BOOST_CHECK(model.StateOf("guilty") == jobs::JobState::kFailed);
+  BOOST_CHECK(model.StateOf("crashing") == jobs::JobState::kFailed);
   BOOST_CHECK(model.StateOf("other") == jobs::JobState::kCompleted);
   BOOST_TEST(model.crashed_workers() <= 3);
 }
@@ -136,13 +136,13 @@
                << base::NameOf(jobs::kJobStateNames, model.StateOf(job.id))
                << "\n";
       const jobs::Step& step = job.spec.steps[0];
-      const auto guilty = static_cast<int>(job.crashing.size());
+      const auto crashing_tasks = static_cast<int>(job.crashing.size());
       const int running = model.RunningTasks(job.id);
       if (step.lasting) {
-        RC_ASSERT(running <= step.tasks - guilty);
-        RC_ASSERT(running >=
-                  step.tasks - guilty - model.TasksThatMayBeGivenUp(job.id));
-      } else if (guilty > 0) {
+        RC_ASSERT(running <= step.tasks - crashing_tasks);
+        RC_ASSERT(running >= step.tasks - crashing_tasks -
+                                 model.TasksThatMayBeGivenUp(job.id));
+      } else if (crashing_tasks > 0) {
         RC_ASSERT(model.StateOf(job.id) == jobs::JobState::kFailed);
       } else {
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
@@ -174,9 +174,9 @@
     model.RunFor(seconds(40));
     RC_LOG() << Joined(model.violations()) << model.History();
     RC_ASSERT(model.violations().empty());
-    int guilty = 0;
+    int crashing_jobs = 0;
     for (const ModelJob& job : jobs) {
-      guilty += !job.crashing.empty();
+      crashing_jobs += !job.crashing.empty();
       RC_ASSERT(model.StateOf(job.id) == (job.crashing.empty()
                                               ? jobs::JobState::kCompleted
                                               : jobs::JobState::kFailed));
@@ -184,9 +184,10 @@
     // What an owner saw of a run that lived on, the next one does not know, and
     // a start without an answer may never have begun: the two starts that are
     // allowed beyond three crashes may be needed.
-    const bool is_plain = model.takeovers() == 0 && faults.lost_answer == 0.0;
-    const int most = is_plain ? 3 : 5;
-    RC_ASSERT(model.crashed_workers() <= most * guilty);
+    const bool is_fault_free =
+        model.takeovers() == 0 && faults.lost_answer == 0.0;
+    const int max_crashes_per_task = is_fault_free ? 3 : 5;
+    RC_ASSERT(model.crashed_workers() <= max_crashes_per_task * crashing_jobs);
   });
   BOOST_TEST(holds);
 }
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -1,6 +1,7 @@
 // Tasks that wait for something else than room, and the boxes that their pool
 // draws meanwhile: 150 boxes in three pools.
 
+#include <array>
 #include <map>
 #include <string>
 #include <vector>
@@ -19,8 +20,21 @@
 
 constexpr int kBoxes = 150;
 
+// Why a task can't start though there may be idle boxes.
+enum class StuckReason {
+  kQuota,    // its organisation is over its quota
+  kLabel,    // no worker has its label
+  kSize,     // it is larger than any worker
+  kAdvice,   // its queue requires advice and there is none
+  kGivenUp,  // it is no longer started after its workers crashed
+};
+
+constexpr std::array kStuckReasons = {StuckReason::kQuota, StuckReason::kLabel,
+                                      StuckReason::kSize, StuckReason::kAdvice,
+                                      StuckReason::kGivenUp};
+
 // Three crashes, and two last tries that were lost too.
-jobs::Progress LostForGood() {
+jobs::Progress ProgressOfGivenUpTask() {
   jobs::Progress progress;
   const jobs::TaskKey task{.step = {}, .index = 0};
   for (int i = 1; i <= 3; ++i) {
@@ -49,12 +63,12 @@
     this->bench.scheduler.SetQuotaShare("full", 0);
     for (int i = 0; i < kBoxes; ++i) {
       const char* pool = i < 10 ? "pool" : i < 80 ? "second" : "third";
-      this->Come("box" + std::to_string(i), pool);
+      this->AddWorkerOn("box" + std::to_string(i), pool);
     }
   }
 
-  void Come(const std::string& box, const std::string& pool) {
-    WorkerInfo info = Bench::Worker("w" + std::to_string(++this->lives));
+  void AddWorkerOn(const std::string& box, const std::string& pool) {
+    WorkerInfo info = Bench::Worker("w" + std::to_string(++this->worker_count));
     info.box = box;
     info.service = pool;
     this->bench.scheduler.PutWorker(info, this->bench.now);
@@ -88,22 +102,23 @@
 
   // One that no box helps: over its quota, without a worker that suits it, too
   // large, without advice, given up.
-  void AddStuckJob(const std::string& pool, int reason) {
-    const std::string id = "stuck-" + pool + std::to_string(reason);
+  void AddStuckJob(const std::string& pool, StuckReason reason) {
+    const std::string id =
+        "stuck-" + pool + std::to_string(static_cast<int>(reason));
     jobs::Step step = Bench::OneLastingTask();
     jobs::Progress progress;
-    if (reason == 1)
+    if (reason == StuckReason::kLabel)
       step.label = "nowhere";
-    if (reason == 2)
+    if (reason == StuckReason::kSize)
       step.each.memory_mb = 100'000;
-    if (reason == 4)
-      progress = LostForGood();
-    this->AddJobTo(pool, id, step, reason == 0 ? "full" : "", progress,
-                   reason == 3);
+    if (reason == StuckReason::kGivenUp)
+      progress = ProgressOfGivenUpTask();
+    this->AddJobTo(pool, id, step, reason == StuckReason::kQuota ? "full" : "",
+                   progress, reason == StuckReason::kAdvice);
   }
 
   // Plays turns of 0.3 s; boxes that are moved are back at once.
-  void Play(int turns) {
+  void RunTurns(int turns) {
     for (int i = 0; i < turns; ++i) {
       const std::vector<Action> actions = this->bench.Turn();
       this->bench.Save(Only<SaveProgress>(actions));
@@ -120,7 +135,7 @@
       for (const MoveBox& move : Only<MoveBox>(actions)) {
         this->bench.scheduler.Moved(move, BoxCallOutcome::kDone,
                                     this->bench.now);
-        this->Come(move.box, move.pool);
+        this->AddWorkerOn(move.box, move.pool);
         this->moved[move.pool] += 1;
       }
     }
@@ -136,7 +151,7 @@
   }
 
   Bench bench{1};
-  int lives = 0;
+  int worker_count = 0;
   int starts = 0;
   std::map<std::string, std::vector<ListedRun>> running;  // by worker
   std::map<std::string, int> moved;  // boxes, by the pool they went to
@@ -147,8 +162,8 @@
 // Guards against a full quota that takes everybody's boxes.
 BOOST_AUTO_TEST_CASE(LastingTaskOverItsQuotaTakesNoBoxes) {
   ThreePools fleet;
-  fleet.AddStuckJob("pool", 0);
-  fleet.Play(100);
+  fleet.AddStuckJob("pool", StuckReason::kQuota);
+  fleet.RunTurns(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -161,7 +176,7 @@
   step.tasks = 100;
   step.most_per_worker = 1;
   fleet.AddJobTo("pool", "wide", step, "full");
-  fleet.Play(100);
+  fleet.RunTurns(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -169,8 +184,8 @@
 // Guards against a label that no worker has and that takes everybody's boxes.
 BOOST_AUTO_TEST_CASE(LastingTaskThatNoWorkerSuitsTakesNoBoxes) {
   ThreePools fleet;
-  fleet.AddStuckJob("pool", 1);
-  fleet.Play(100);
+  fleet.AddStuckJob("pool", StuckReason::kLabel);
+  fleet.RunTurns(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -178,8 +193,8 @@
 // Guards against a task larger than any worker that takes everybody's boxes.
 BOOST_AUTO_TEST_CASE(LastingTaskLargerThanAnyWorkerTakesNoBoxes) {
   ThreePools fleet;
-  fleet.AddStuckJob("pool", 2);
-  fleet.Play(100);
+  fleet.AddStuckJob("pool", StuckReason::kSize);
+  fleet.RunTurns(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -187,8 +202,8 @@
 // Guards against missing advice that takes everybody's boxes.
 BOOST_AUTO_TEST_CASE(LastingTaskWithoutAdviceTakesNoBoxes) {
   ThreePools fleet;
-  fleet.AddStuckJob("pool", 3);
-  fleet.Play(100);
+  fleet.AddStuckJob("pool", StuckReason::kAdvice);
+  fleet.RunTurns(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -196,8 +211,8 @@
 // Guards against given-up tasks that count as work and take everybody's boxes.
 BOOST_AUTO_TEST_CASE(GivenUpTaskTakesNoBoxesAndDoesNotWait) {
   ThreePools fleet;
-  fleet.AddStuckJob("pool", 4);
-  fleet.Play(100);
+  fleet.AddStuckJob("pool", StuckReason::kGivenUp);
+  fleet.RunTurns(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
   BOOST_TEST(fleet.Pool("pool").waiting == 0);
@@ -210,12 +225,12 @@
   many.tasks = 20;
   many.each = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
   fleet.AddJobTo("pool", "many", many);
-  fleet.Play(30);
+  fleet.RunTurns(30);
   BOOST_REQUIRE(fleet.starts == 20);
   jobs::Step large = Bench::OneLastingTask();
   large.each.memory_mb = 3000;
   fleet.AddJobTo("pool", "large", large);
-  fleet.Play(20);
+  fleet.RunTurns(20);
   BOOST_TEST(fleet.starts == 21);
   BOOST_TEST(fleet.moved["pool"] >= 1);
   BOOST_TEST(fleet.moved["pool"] <= 2);
@@ -228,7 +243,7 @@
     ThreePools fleet;
     const std::vector<std::string> pools = {"pool", "second", "third"};
     for (const std::string& pool : pools) {
-      for (int reason = 0; reason < 5; ++reason) {
+      for (const StuckReason reason : kStuckReasons) {
         if (*rc::gen::arbitrary<bool>())
           fleet.AddStuckJob(pool, reason);
       }
@@ -245,11 +260,11 @@
       fleet.AddJobTo(pool, "fits-" + pool, step);
       tasks += static_cast<int>(step.tasks);
     }
-    fleet.Play(120);
+    fleet.RunTurns(120);
     RC_ASSERT(fleet.starts == tasks);
     // What waits for something else draws a box now and then, no more.
     fleet.moved.clear();
-    fleet.Play(40);
+    fleet.RunTurns(40);
     int moved = 0;
     for (const auto& [pool, boxes] : fleet.moved)
       moved += boxes;
