--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -1,10 +1,12 @@
-// What is kept, and done, about workers that were lost under tasks.
+// Crash-loop detection: finds tasks that crash their workers and stops
+// starting them.
 //
-// All that ran on a worker when it was lost is suspected, and its job's row
-// says so before the task's next start leaves, for any later owner. One loss
-// only keeps suspects apart from each other; from two on a task starts alone.
-// Three crashes on several boxes, one of them soon after the task was started
-// alone, are not met by chance: it is given up.
+// When a worker is lost, every task that ran on it becomes a suspect. The loss
+// is written to the job's row before the next start of the task is sent, so
+// that later owners know of it. After one loss, suspects are only placed apart
+// from each other; after two, a task is started alone on a worker. Three
+// crashes on more than one box, one of them soon after the task was started
+// alone, are unlikely to be a coincidence: the task is given up.
 
 #include <algorithm>
 
@@ -14,8 +16,8 @@
 
 namespace {
 
-// Several may be the cause: more than one is watched, or another owner placed
-// some, and what it had seen of them is not known.
+// True if more than one run may have caused the loss: several are suspected, or
+// an earlier owner placed one and what that owner knew of it is lost.
 bool HasOtherSuspects(const std::map<jobs::TaskId, Run>& runs) {
   int suspected = 0;
   for (const auto& [task, run] : runs) {
@@ -26,16 +28,18 @@
   return suspected > 1;
 }
 
-// For how long, at least, the run was on the worker by what that has listed. An
-// owner that stood still reads an old listing late: it counts from its asking.
+// Lower bound on how long the run has been on the worker, from the worker's
+// listings. Uses the time at which the listing was requested, since an owner
+// that was paused may read an old listing late.
 base::Micros ConfirmedRunTime(const Run& run, const Worker& worker) {
   if (run.answered == base::Micros::zero())
     return {};
   return std::max(worker.listed_sent - run.answered, base::Micros::zero());
 }
 
-// The worker has told of the run; or an earlier owner placed it, and did not
-// live to note more than that.
+// True if the worker reported the run. A run placed by an earlier owner counts
+// as reported unless a loss is recorded for it: that owner may have been
+// replaced before it recorded the report.
 bool WasReported(const Job& job,
                  const TaskPlace& place,
                  const Worker& worker,
@@ -61,7 +65,7 @@
 
 }  // namespace
 
-// What is to be noted of the worker's loss, by the tasks that ran there.
+// Returns the loss to record for each task that may have caused it.
 std::map<jobs::TaskId, jobs::WorkerLoss> Scheduler::LossesUnder(
     const Worker& worker,
     const std::map<jobs::TaskId, Run>& runs,
@@ -71,7 +75,8 @@
                            sign == LossSign::kLeft || worker.info.draining;
   if (was_planned)
     return losses;
-  // Another life at its address after it had withdrawn itself is no crash.
+  // A worker that withdrew its announcement left on purpose; another life at
+  // its address afterwards doesn't indicate a crash.
   const bool has_crashed =
       (sign == LossSign::kOtherLife || sign == LossSign::kRestarted) &&
       !worker.has_withdrawn();
@@ -79,7 +84,7 @@
   for (const auto& [id, run] : runs) {
     const Job* job = this->FindJob(id.job);
     const base::Micros ran = ConfirmedRunTime(run, worker);
-    // A lasting task that was at work for long is not what ended its worker.
+    // A lasting task that outlived the startup window is not a suspect.
     const bool may_be_cause = run.state != RunState::kPlanned &&
                               !(run.lasting && ran >= kStartupCrashWindow);
     if (!may_be_cause || !job || !Exists(*job, PlaceOf(id)))
@@ -112,8 +117,9 @@
     this->open_losses.Add(life, loss.box, job.id);
 }
 
-// An earlier owner placed the task on a worker that nobody knows any more. How
-// it went, that owner may have known and not lived to record.
+// Records the loss of a worker that is no longer known, on which an earlier
+// owner placed the task. That owner may have known the outcome but been
+// replaced before it recorded it.
 void Scheduler::NoteUnseenLoss(Job& job,
                                const TaskPlace& place,
                                const jobs::Placement& placement,
@@ -121,9 +127,9 @@
   this->NoteLoss(job, place, placement.worker, {.run = placement.run}, now);
 }
 
-// Gives up plans that were made before another owner's knowledge of the losses,
-// read from its row, came to light; their own record was refused. The places
-// concerned.
+// Cancels planned starts that were decided without losses that another owner
+// has stored: the save of the plan was refused and the stored row raised the
+// suspicion. Returns the places of the cancelled starts.
 std::vector<TaskPlace> Scheduler::VoidSuspectPlans(Job& job,
                                                    const jobs::Progress& stored,
                                                    base::Micros now) {
@@ -151,7 +157,7 @@
   return voided;
 }
 
-// The losses that the job's row tells of, as an owner reads it.
+// Takes over the losses stored in the job's row.
 void Scheduler::InheritLosses(Job& job, base::Micros now) {
   for (const auto& [key, losses] : job.progress.losses) {
     const TaskPlace place = PlaceOfKey(key);
@@ -166,7 +172,8 @@
   this->GiveUpCauses(job, now);
 }
 
-// The worker answers: it has not crashed, and earlier lives on its box have.
+// Called when a worker answers. It has not crashed, so its unresolved losses
+// are dropped; those of other lives on the same box are confirmed as crashes.
 void Scheduler::SettleLosses(const Worker& worker, base::Micros now) {
   const jobs::WorkerLife& life = worker.info.life;
   for (const std::string& id : this->open_losses.Remove(life)) {
@@ -194,14 +201,14 @@
   }
 }
 
-// Told when the run is planned, so that the row says so before it starts.
+// Called when the run is planned, so that the row has it before the start.
 void Scheduler::NoteLastTry(Job& job, const TaskPlace& place, int run) {
   const auto found = job.progress.losses.find(KeyOf(place));
   if (found != job.progress.losses.end() && IsLastTry(found->second))
     job.progress.last_tries[KeyOf(place)].insert(run);
 }
 
-// The run has not been started after all.
+// Undoes NoteLastTry for a run that was not started.
 void Scheduler::TakeBackLastTry(Job& job, const TaskPlace& place, int run) {
   const auto found = job.progress.last_tries.find(KeyOf(place));
   if (found == job.progress.last_tries.end())
@@ -229,7 +236,7 @@
                          now - task.newest_loss, StepOf(job, place).lasting);
 }
 
-// The members of a gang start together.
+// The members of a gang start together, so the highest suspicion applies.
 Suspicion Scheduler::SuspicionOfStart(const Job& job,
                                       const TaskPlace& place,
                                       base::Micros now) const {
@@ -245,9 +252,10 @@
   return worst;
 }
 
-// A task that crashes its workers ends its job. Lasting tasks beside it serve
-// on: stopping them all at once takes away more than may be, and it alone is
-// not started any more. What is placed is judged once its run is over.
+// Fails a job with a task that crashes its workers. In a job with a lasting
+// step only the task itself is given up: stopping all lasting tasks at once
+// would exceed the number that may be away. A task that is placed or running
+// is handled once its run has ended.
 void Scheduler::GiveUpCauses(Job& job, base::Micros now) {
   if (job.finished())
     return;
@@ -273,7 +281,9 @@
   }
 }
 
-// It is listed as running: what lives on has not crashed its worker.
+// Called when the worker lists the run as running. A run that has been running
+// for long enough has not crashed its worker: its suspicion is cleared, and so
+// are the recorded losses of a lasting task.
 void Scheduler::WatchSuspect(Worker& worker, const jobs::TaskId& id, Run& run) {
   const base::Micros ran = ConfirmedRunTime(run, worker);
   if (run.suspicion != Suspicion::kNone && ran >= kSuspectWatchTime)
