--- a/scheduler/suspects.h
+++ b/scheduler/suspects.h
@@ -1,5 +1,6 @@
-// Tasks under which workers were lost: how far each is suspected of crashing
-// them, and which losses are still open.
+// Detection of tasks that crash their workers: the suspicion that follows from
+// a task's losses, and the losses of which it isn't known yet whether the
+// worker crashed.
 
 #ifndef SCHEDULER_SUSPECTS_H_
 #define SCHEDULER_SUSPECTS_H_
@@ -17,41 +18,42 @@
 
 enum class Suspicion {
   kNone,
-  kLow,       // one worker was lost: whatever ran there may be the cause
-  kProbe,     // it starts alone, so that nothing else is lost with it
-  kDeferred,  // it waits until it is known what became of the workers
-  kGiveUp,    // it is not started any more
+  kLow,       // one worker was lost; any task that ran there may be the cause
+  kProbe,     // start alone, so that a crash affects no other task
+  kDeferred,  // don't start until it is known whether the workers crashed
+  kGiveUp,    // don't start any more
 };
 
-// `last_tries`: runs that were placed though three workers had been lost.
-// `since_last_loss`: since the newest of the losses was noted. A lasting task
-// is not the cause before its last tries were lost too: it is gone for good
-// from a job that goes on.
+// `last_tries`: the runs placed after three workers had been lost.
+// `since_last_loss`: time since the newest loss was recorded.
+// A lasting task is given up only after its last tries were lost as well,
+// because it is then missing for good from a job that keeps running.
 Suspicion AssessSuspicion(const jobs::WorkerLosses& losses,
                           const jobs::RunNumbers& last_tries,
                           base::Micros since_last_loss,
                           bool is_lasting = false);
-// Is the next run one of the last tries?
+// True if the next run counts as one of the last tries.
 bool IsLastTry(const jobs::WorkerLosses& losses);
 
-// How long a suspected run is watched: one that lives on is not the cause.
+// A suspected run that has been running for this long is no longer suspected.
 inline constexpr base::Micros kSuspectWatchTime = std::chrono::seconds(2);
-// A run that was heard of for so long has not ended its worker by its start.
+// A run that has been running for this long did not crash its worker by
+// starting.
 inline constexpr base::Micros kStartupCrashWindow = std::chrono::seconds(3);
-// A task that is to start alone waits this long for a worker that runs nothing.
+// How long a task that must start alone waits for an idle worker.
 inline constexpr base::Micros kIdleWorkerWait = std::chrono::seconds(1);
 
-// Lives that fell silent with tasks on them, and the jobs of these tasks. A
-// life that answers again has not crashed; one has where another answers on
-// its box.
+// Worker lives that became unresponsive while tasks ran on them, and the jobs
+// of these tasks. A life that answers again has not crashed; if another life
+// answers on its box, it has.
 class UnresolvedLosses {
  public:
   void Add(const jobs::WorkerLife& life,
            const std::string& box,
            const std::string& job);
-  // Takes what is open of this life out; the jobs concerned.
+  // Removes the entry of this life and returns the jobs in it.
   std::set<std::string> Remove(const jobs::WorkerLife& life);
-  // Other lives than this one that were lost on the box.
+  // Returns the lives in this collection on the box, except `life`.
   std::vector<jobs::WorkerLife> OtherLivesOn(
       const std::string& box,
       const jobs::WorkerLife& life) const;
