--- a/scheduler/suspects.cc
+++ b/scheduler/suspects.cc
@@ -6,21 +6,23 @@
 
 namespace {
 
-// With two crashes under it a task may still be innocent of both: what runs
-// beside the cause is lost with it, and may be placed together with it again.
+// Two crashes don't prove that a task is the cause: a task that runs next to
+// the cause is lost with it, and both may be placed together again.
 constexpr int kCrashesToGiveUp = 3;
-// Of them, those under runs that the workers had told of.
+// How many of these crashes must be of runs that the workers had reported.
 constexpr int kMinReportedCrashes = 2;
-// From so many losses on a task starts alone.
+// Number of losses from which on a task starts alone.
 constexpr int kLossesBeforeProbe = 2;
-// After three crashes two starts more are within the promise, whatever becomes
-// of them: a run that was stopped before it could crash its worker counts too.
+// The guarantee allows two more starts after three crashes, whatever their
+// outcome: a run that is stopped before it can crash its worker counts too.
 constexpr std::size_t kMaxLastTries = 2;
-// A worker that has crashed is back, as another life, within some seconds: so
-// long a task with three losses waits for its worker's fate to show.
+// A crashed worker usually comes back as another life within a few seconds. A
+// task with three losses waits this long for it to be known whether its worker
+// crashed.
 constexpr base::Micros kCrashDetectionTime = std::chrono::seconds(3);
 
-// Before a last try of a lasting task: crashes by chance come close together.
+// Delay before a last try of a lasting task: unrelated crashes tend to occur
+// close together.
 constexpr base::Micros kLastTryPause = std::chrono::seconds(4);
 
 }  // namespace
@@ -37,7 +39,7 @@
   int crashes = 0;
   int reported = 0;
   bool was_alone = false;
-  std::set<std::string> boxes;  // on which workers crashed
+  std::set<std::string> boxes;  // with crashed workers
   for (const auto& [life, loss] : losses) {
     if (!loss.has_crashed)
       continue;
@@ -46,8 +48,9 @@
     boxes.insert(loss.box);
     was_alone = was_alone || loss.was_alone;
   }
-  // Crashes on one box alone may be the box's; a start that was not answered
-  // may never have begun there.
+  // If all crashes were on one box, the box may be the cause. A start without
+  // an answer may never have been carried out, so crashes of reported runs are
+  // required as well.
   const bool is_proven = crashes >= kCrashesToGiveUp &&
                          reported >= kMinReportedCrashes && was_alone &&
                          boxes.size() > 1;
