--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -1,6 +1,7 @@
-// An in-memory world around schedulers: a store with versions, workers with
-// leases and fencing, and messages that get lost, come late or overtake one
-// another; several owners may act at once. It judges what the workers see.
+// A deterministic simulation around schedulers: a versioned store, workers with
+// leases and fencing, and messages that are lost, delayed or reordered. Several
+// owners may be active at once. The invariants are checked at the workers and
+// boxes, where orders take effect.
 
 #ifndef TESTING_SCHEDULER_MODEL_H_
 #define TESTING_SCHEDULER_MODEL_H_
@@ -20,34 +21,35 @@
 
 namespace quartzhoist::testing {
 
-// Odds are of one message or step.
+// Probabilities, per message unless stated otherwise.
 struct ModelFaults {
-  double lost_answer = 0.0;  // the order is carried out, its answer lost
-  double lost_order = 0.0;   // the order never arrives
+  double lost_answer = 0.0;  // an order is carried out, but its answer is lost
+  double lost_order = 0.0;   // an order never arrives
   double late_order = 0.0;   // carried out 2 to 6 s later, never answered
-  double lost_save = 0.0;    // a save is made, its answer lost
-  double late_save = 0.0;    // made 1 to 4 s later if it still fits
-  // The part of the store with a job's row falls silent for 1 to 6 s, a second:
-  // of the saves meanwhile half are lost, half are made once it is back.
+  double lost_save = 0.0;    // a save is carried out, but its answer is lost
+  double late_save = 0.0;    // tried 1 to 4 s later, never answered
+  // Per second: the part of the store with a job's row doesn't answer for 1 to
+  // 6 s. Half of the saves in that time are lost, half are carried out after
+  // it.
   double store_outage = 0.0;
-  double crash = 0.0;  // a worker's life ends, a second
-  // A worker starts again under its id 20 to 1500 ms later, and knows nothing
-  // of before; owners hear of it 20 to 1500 ms after that. A second.
+  double crash = 0.0;  // per second: a worker's life ends
+  // Per second: a worker stops and starts again under its id 20 to 1500 ms
+  // later without any state. Owners are told 20 to 1500 ms after that.
   double restart = 0.0;
-  double partition = 0.0;  // a worker is cut from an owner, a second
-  // A job was handed in while a new owner read what is kept: it hears of it 20
-  // to 600 ms later. Per job and takeover.
+  double partition = 0.0;  // per second: a worker is cut off from an owner
+  // Per job and takeover: the job was submitted while the new owner read the
+  // store, so the owner learns of it 20 to 600 ms later.
   double late_job = 0.0;
-  double takeover = 0.0;  // a new owner comes, the old one lives on, a second
-  double owner_pause = 0.0;  // an owner stands still for 1 to 6 s, a second
-  double failing_run = 0.0;  // a run fails
-  // A worker's capacity shrinks to a part, and is back 1 to 6 s later; owners
-  // hear of each change 20 to 1500 ms after it. A second.
+  double takeover = 0.0;  // per second: a new owner starts, the old one goes on
+  double owner_pause = 0.0;  // per second: the newest owner stops for 1 to 6 s
+  double failing_run = 0.0;  // per run: it fails
+  // Per second: a worker's capacity drops for 1 to 6 s. Owners are told of each
+  // change 20 to 1500 ms after it.
   double capacity_drop = 0.0;
-  // An owner stands still for 1 to 6 s right before a call for a box leaves,
-  // after its last look at whether it may: it leaves when the owner wakes.
+  // The owner is paused for 1 to 6 s right before it sends a call for a box,
+  // after the last check that it may. The call is sent when the owner resumes.
   double pause_before_call = 0.0;
-  // A call for a box is carried out 2 to 6 s later, and never answered.
+  // A call for a box is carried out 2 to 6 s later and never answered.
   double late_call = 0.0;
 };
 
@@ -56,21 +58,21 @@
   jobs::JobSpec spec;
   int attempts = 3;
   std::string service = "pool";
-  // Tasks that end the life of each worker that starts them, so long after the
-  // start. Another life comes on the box.
+  // Tasks that crash each worker that starts them, `crash_after` after the
+  // start. Another worker life starts on the box later.
   std::set<scheduler::TaskPlace> crashing;
   base::Micros crash_after = std::chrono::milliseconds(10);
 };
 
-// Of each worker, while it has not shrunk.
+// Capacity of each worker without `capacity_drop`.
 inline constexpr jobs::Resources kWorkerCapacity{.cpu_millis = 4000,
                                                  .memory_mb = 4000,
                                                  .gpus = 0};
 
-// Workers cut any grant to this, on their own clocks.
+// Workers limit each lease to this, on their own clocks.
 inline constexpr base::Micros kLongestLease = std::chrono::milliseconds(8000);
 
-// A box is away for so long.
+// How long a box is away for a move or for its upkeep.
 inline constexpr base::Micros kMoveTime = std::chrono::milliseconds(1500);
 inline constexpr base::Micros kUpkeepTime = std::chrono::milliseconds(2000);
 
@@ -82,55 +84,55 @@
                  const std::vector<ModelJob>& jobs);
 
   void RunFor(base::Micros span);
-  // No further faults; what is cut is joined, what is frozen thaws.
+  // Stops all faults, partitions and pauses.
   void Heal();
   void Cancel(const std::string& job);
-  // Every worker that runs a task of the job falls silent for good: nothing
-  // says that its life is over. Another comes for each.
+  // Stops every worker that runs a task of the job, without a sign that its
+  // life is over. A new box with a worker is added for each.
   void SilenceWorkersOf(const std::string& job);
-  // The owner is confirmed no more; after the silence a new one comes.
+  // Stops confirming the owner and starts a new one after the takeover delay.
   void TakeOver();
-  // Every box is due for its upkeep, so many at a time.
+  // Starts an upkeep wave over all boxes, at most `max_at_once` at a time.
   void BeginWave(int max_at_once);
-  // Boxes that have had it.
+  // Number of boxes that have had their upkeep.
   int UpkeepsDone() const;
 
-  // What broke a promise, in words; empty: nothing.
+  // Descriptions of the violated invariants.
   const std::vector<std::string>& violations() const {
     return this->violations_found;
   }
-  // What the owners and workers did last, for a failing test.
+  // The last events and the owners' state, to diagnose a failed test.
   std::string History() const;
-  // The recorded state of a job.
+  // The stored state of the job.
   jobs::JobState StateOf(const std::string& job) const;
-  // Tasks of the job that run now.
+  // Number of the job's tasks that are running.
   int RunningTasks(const std::string& job) const;
-  // Tasks of the job under which two workers or more have crashed.
+  // Number of the job's tasks that lost at least two workers.
   int TasksThatMayBeGivenUp(const std::string& job) const;
   int starts() const { return this->start_count; }
-  // Lives that crashing tasks have ended.
+  // Number of workers crashed by tasks.
   int crashed_workers() const { return this->crash_count; }
   int takeovers() const { return static_cast<int>(this->owners.size()) - 1; }
 
  private:
   struct WorkerRun {
     int number = 0;
-    base::Micros ends{};  // when its work is done
+    base::Micros ends{};  // when the run ends by itself or after a stop
     bool fails = false;
-    bool stopping = false;  // it still takes its room, and is not listed
+    bool stopping = false;  // still uses its resources, but is not listed
   };
   struct Worker {
     std::string id;
     std::string box;
     jobs::Resources capacity;
-    jobs::Resources earlier_capacity;  // before the newest change
+    jobs::Resources earlier_capacity;  // before the last change
     base::Micros capacity_changed{};
     bool alive = true;
-    bool silent = false;  // dead, and nothing answers in its place
-    // Dead, and its box is back with another life from then on.
+    bool silent = false;  // dead, and nothing answers at its address
+    // Dead; another life answers on its box from this time on.
     std::optional<base::Micros> replaced_at;
     std::int64_t born_ms = 0;  // the start of this life
-    // Dead, and it starts again under its id soon.
+    // Dead; starts again under its id soon.
     bool restarting = false;
     bool announced = true;
     double clock_rate = 1.0;  // up to 2% slow
@@ -138,8 +140,7 @@
     std::uint64_t epoch = 0;        // highest seen
     base::Micros lease_deadline{};  // on its own clock
     std::map<jobs::TaskId, WorkerRun> running;
-    std::map<jobs::TaskId, int>
-        highest_over_run;  // highest run that ended or was stopped
+    std::map<jobs::TaskId, int> highest_over_run;  // ended or stopped
     std::vector<scheduler::ListedEnd> ends;
     std::int64_t last_number = 0;
     std::int64_t acknowledged = 0;
@@ -148,19 +149,20 @@
     ModelJob job;
     std::string progress;
     std::uint64_t version = 0;
-    std::uint64_t first_version = 0;  // as it was handed in
+    std::uint64_t first_version = 0;  // at submission
     bool cancelled = false;
     base::Micros unavailable_until{};  // its row's part of the store
-    std::set<scheduler::TaskPlace>
-        recorded_done;  // noted ends, as workers saw them
-    std::map<scheduler::TaskPlace, int> recorded_failures;  // noted
-    std::set<scheduler::TaskPlace> ever_done;     // ended as done, noted or not
+    // Ends that were acknowledged to the workers, so an owner has stored them.
+    std::set<scheduler::TaskPlace> recorded_done;
+    std::map<scheduler::TaskPlace, int> recorded_failures;
+    std::set<scheduler::TaskPlace> ever_done;     // acknowledged or not
     std::map<scheduler::TaskPlace, int> crashes;  // of workers that started it
     std::map<scheduler::TaskPlace, int> starts_since_third_crash;
-    // Lives that ended without an order while it ran there, whatever the cause.
+    // Worker lives that ended without an order while the task ran there,
+    // whatever the cause.
     std::map<scheduler::TaskPlace, int> lost_workers;
   };
-  // A box, and when it is back from its move or upkeep.
+  // `available_at`: end of the current move or upkeep.
   struct Box {
     std::string pool;
     scheduler::BoxState state = scheduler::BoxState::kUp;
@@ -168,7 +170,7 @@
     std::uint64_t epoch = 0;  // highest seen
     bool had_upkeep = false;
   };
-  // A lasting task, as the rule on what may be away sees it.
+  // State of a lasting task for the limit on tasks that may be away.
   struct Presence {
     base::Micros last_at_work{};
     bool is_away_by_order = false;
@@ -194,12 +196,12 @@
   void Step();
   void InjectFaults();
   void AddWorker(const std::string& box);
-  // On a box of its own.
+  // Adds a box with a worker.
   void AddBox(const std::string& pool);
   scheduler::WorkerInfo InfoOf(const Worker& worker) const;
   void Confirm();
   void StartNewOwner();
-  // boxes
+  // Boxes.
   void ReturnBoxes();
   void ListBoxes(std::size_t owner);
   void SendWave(scheduler::Scheduler& owner) const;
@@ -221,7 +223,7 @@
   void UpdatePresence();
   void RecordListed(Owner& owner);
   scheduler::Job MakeJob(const std::string& id, jobs::Progress progress) const;
-  // The feed brings a job as it was handed in.
+  // Delivers the job as submitted, as the store's change feed does.
   void DeliverJobFromFeed(std::size_t owner, const std::string& id);
   void ReadJob(std::size_t owner, const std::string& id);
   void RunOwner(std::size_t owner);
@@ -249,7 +251,7 @@
   void EndRun(Worker& worker, const jobs::TaskId& task, scheduler::RunEnd how);
   void AdvanceRuns(Worker& worker);
   void AcknowledgeEnds(Worker& worker, std::int64_t acknowledged);
-  // A start or a look grants a lease.
+  // Called for a start or a look, both of which grant a lease.
   void GrantLease(Worker& worker, base::Micros deadline) const;
   base::Micros ClockOf(const Worker& worker) const;
   scheduler::Listing ListingOf(const Worker& worker) const;
@@ -260,8 +262,8 @@
   ModelFaults faults;
   base::Micros now = std::chrono::seconds(100);
   std::map<std::string, Worker> workers;
-  // The stored list of workers that may hold a lease: until when, if the owner
-  // has not listed them.
+  // The stored list of workers that may hold a lease. `until`: the end of the
+  // lease, if the current owner has not listed the worker yet.
   struct Lease {
     jobs::WorkerLife life;
     std::optional<base::Micros> until;
@@ -274,11 +276,11 @@
   std::uint64_t version = 1;
   std::map<std::string, Box> boxes;
   int wave_limit = 0;  // 0: no wave
-  // The row of calls for boxes: the owner that claimed it, and what it holds.
+  // The row of calls for boxes: the owner that claimed it, and its calls.
   std::uint64_t calls_epoch = 0;
   std::map<std::string, scheduler::BoxCall> calls;
   std::map<jobs::TaskId, Presence> presence;
-  bool is_confirming = true;  // the newest owner
+  bool is_confirming = true;  // the store confirms the newest owner
   base::Micros last_confirmed{};
   int worker_lives = 0;
   int start_count = 0;
