--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -15,15 +15,16 @@
 constexpr base::Micros kStep = milliseconds(20);
 constexpr base::Micros kLease = milliseconds(5000);
 constexpr base::Micros kGrantBound = milliseconds(10'000);
-// Lines of what happened that are kept for a failing test.
+// Number of events kept to diagnose a failed test.
 constexpr std::size_t kHistoryLines = 120;
-// Another owner comes so long after the last confirmation; the last one knows
-// itself to be the owner for a little less.
+// A new owner starts this long after the last confirmation. A confirmed owner
+// may act for a shorter time, so that the two don't overlap.
 constexpr base::Micros kTakeoverDelay = milliseconds(1300);
 constexpr base::Micros kOwnershipValidity = milliseconds(1150);
-// Spans on clocks that differ by 2%, at most.
+// Bounds a time span on another clock. Worker clocks are up to 2% slow; the
+// rest is a margin.
 constexpr double kClockDriftFactor = 1.05;
-// With so many crashes under it a task may be given up (the platform's pages).
+// A task may be given up from this many crashes on (the platform's pages).
 constexpr int kMinCrashesToGiveUp = 2;
 
 }  // namespace
@@ -147,8 +148,8 @@
   }
 }
 
-// A worker is in the stored list, as held by this owner, before it is granted a
-// lease.
+// Stores the listed workers as held by this owner. This precedes each worker's
+// first lease from it.
 void SchedulerModel::RecordListed(Owner& owner) {
   std::vector<jobs::WorkerLife> held;
   for (const auto& [life, worker] : owner.scheduler->all_workers()) {
@@ -160,15 +161,15 @@
   owner.scheduler->WorkersRecorded(held);
 }
 
-// Others count from when they saw the last confirmation.
+// The takeover delay counts from the last confirmation that was seen.
 void SchedulerModel::TakeOver() {
   this->is_confirming = false;
   this->RunFor(kTakeoverDelay);
   this->StartNewOwner();
 }
 
-// A new owner reads the store and knows every worker that may hold a lease.
-// The old one is not told: it acts on, unconfirmed.
+// Starts an owner that reads the store, including every worker that may hold a
+// lease. The previous owner isn't told: it goes on without confirmations.
 void SchedulerModel::StartNewOwner() {
   const std::uint64_t epoch = this->owners.size() + 1;
   scheduler::Limits limits;
@@ -196,7 +197,7 @@
     const scheduler::WorkerInfo info = this->InfoOf(worker);
     const auto lease = this->leases.find(id);
     if (lease != this->leases.end()) {
-      // What the earlier owner held, this one carries with its end.
+      // A lease of the previous owner is kept until its latest possible end.
       std::optional<base::Micros>& until = lease->second.until;
       if (!until)
         until = this->last_confirmed + bound;
@@ -213,7 +214,7 @@
   const std::size_t index = this->owners.size();
   for (const auto& [id, stored] : this->jobs) {
     jobs::Progress progress = jobs::DecodeProgress(stored.progress).value();
-    // As the entry box does: what is over and placed nowhere is not read.
+    // As the entry box does, skips jobs that are over and placed nowhere.
     if (progress.IsOver())
       continue;
     if (this->Chance(this->faults.late_job)) {
@@ -243,7 +244,7 @@
 void SchedulerModel::Step() {
   this->now += kStep;
   this->InjectFaults();
-  // Due messages, in order of time.
+  // Deliver the messages that are due, in order of time.
   std::vector<Event> due;
   std::erase_if(this->events, [&](Event& event) {
     if (event.at > this->now)
@@ -268,7 +269,7 @@
     this->RunOwner(i);
 }
 
-// Only the newest owner is confirmed by the store.
+// The store confirms only the newest owner.
 void SchedulerModel::Confirm() {
   Owner& owner = this->owners.back();
   if (!this->is_confirming || this->now < owner.paused_until || owner.is_fenced)
@@ -343,7 +344,8 @@
   }
 }
 
-// What runs there runs on; owners hear of it from the worker's announcement.
+// Running tasks are not affected. Owners learn of the change from the worker's
+// announcement.
 void SchedulerModel::ChangeCapacity(const std::string& id,
                                     const jobs::Resources& capacity) {
   Worker& worker = this->workers.at(id);
@@ -380,7 +382,7 @@
   if (this->now < owner.paused_until || owner.is_fenced)
     return;
   this->ListBoxes(index);
-  // A stale owner's list is refused for the newer one's epoch in it.
+  // The store refuses the list of a stale owner because of its epoch.
   if (index + 1 == this->owners.size())
     this->RecordListed(owner);
   owner.scheduler->Advance(this->now);
@@ -424,7 +426,7 @@
                                note->subject, note->text));
 }
 
-// --- What came of it ---
+// --- Results ---
 
 jobs::JobState SchedulerModel::StateOf(const std::string& job) const {
   return jobs::DecodeProgress(this->jobs.at(job).progress)->state;
