--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -1,5 +1,6 @@
-// The model's boxes: calls that are recorded, held up, late or repeated, boxes
-// that keep the highest epoch they have seen, and what a call may end.
+// The model's boxes: calls that are recorded, delayed or repeated, fencing by
+// the highest epoch that a box has seen, and the check of which tasks a call
+// may stop.
 
 #include <algorithm>
 #include <utility>
@@ -19,7 +20,7 @@
 
 constexpr base::Micros kBoxListPeriod = milliseconds(1500);
 constexpr base::Micros kCallTimeout = milliseconds(2000);
-// A task that has not been at work for so long counts as away.
+// A task that hasn't been running for this long counts as away.
 constexpr base::Micros kAwayThreshold = milliseconds(4500);
 constexpr int kWaveNumber = 1;
 
@@ -29,7 +30,7 @@
 
 }  // namespace
 
-// --- Boxes that are away ---
+// --- Moves and upkeep of boxes ---
 
 void SchedulerModel::ShutDownBox(const std::string& name,
                                  BoxState state,
@@ -63,8 +64,8 @@
   }
 }
 
-// The list is asked for now and read later: by an owner that stands still, when
-// it wakes.
+// The list is taken now and read later; a paused owner reads it when it
+// resumes.
 void SchedulerModel::ListBoxes(std::size_t index) {
   Owner& owner = this->owners[index];
   if (this->now < owner.next_list)
@@ -117,7 +118,8 @@
 
 // --- Calls ---
 
-// As the owner's row does: only the owner that claimed it writes it.
+// Stores the call in the owner's row, which only the owner that claimed the row
+// may write. The call is sent once it is stored.
 void SchedulerModel::RecordCall(std::size_t index,
                                 const scheduler::BoxCall& call) {
   this->ScheduleAfter(this->Between(1, 20), [this, index, call] {
@@ -147,7 +149,7 @@
                         [this, index, call] { this->SendCall(index, call); });
     return;
   }
-  // Looked at again right where it leaves.
+  // Checked again right before the call is sent.
   if (owner.is_fenced || this->now >= owner.certain_until) {
     this->DeliverCallOutcome(index, call, BoxCallOutcome::kNotSent);
     return;
@@ -242,7 +244,7 @@
     owner.UpkeepBegun(std::get<scheduler::UpkeepBox>(call), outcome, this->now);
 }
 
-// --- What may be away ---
+// --- Limit on tasks that may be away ---
 
 void SchedulerModel::UpdatePresence() {
   for (const auto& [id, worker] : this->workers) {
@@ -254,8 +256,9 @@
   }
 }
 
-// An order ends a task at work: fewer of its step than may be missed are away,
-// by an order or for long.
+// Called when an order stops a task. Reports a violation if as many other tasks
+// of its step as may be away are away already, either by an order or for longer
+// than kAwayThreshold.
 void SchedulerModel::CheckDisruption(const jobs::TaskId& task,
                                      const std::string& by) {
   const StoredJob& stored = this->jobs.at(task.job);
