--- a/testing/scheduler_model_messages.cc
+++ b/testing/scheduler_model_messages.cc
@@ -1,5 +1,5 @@
-// The model's orders to workers: lost, late, unanswered, overtaking one
-// another.
+// The model's orders to workers, which may be lost, delayed, reordered or left
+// unanswered.
 
 #include <memory>
 #include <utility>
@@ -25,7 +25,7 @@
   const auto answer_after = [this, index, answer](base::Micros delay,
                                                   OrderOutcome outcome) {
     this->ScheduleAfter(delay, [this, index, answer, outcome] {
-      // A frozen owner reads its answers when it thaws.
+      // A paused owner reads its answers when it resumes.
       const base::Micros resume_at = this->owners[index].paused_until;
       if (this->now < resume_at)
         this->ScheduleAfter(resume_at - this->now,
@@ -42,7 +42,7 @@
       answer_after(milliseconds(5), OrderOutcome::kNotSent);
       return;
     }
-    // Nobody listens at the address until the box is back.
+    // Nothing listens at the address until the next life starts on the box.
     if (found != this->workers.end() && found->second.replaced_at) {
       answer_after(milliseconds(5), this->now < *found->second.replaced_at
                                         ? OrderOutcome::kNotSent
@@ -65,7 +65,7 @@
       late ? this->Between(2000, 6000) : this->Between(1, 30);
   if (lost)
     answer_after(kOrderTimeout, OrderOutcome::kUnknown);
-  // What is on its way to a life is lost with it.
+  // An order that is under way is lost when the worker life ends.
   this->ScheduleAfter(delay, [this, id, carry_out, lost, answer_after,
                               born = found->second.born_ms] {
     Worker& worker = this->workers.at(id);
