--- a/testing/scheduler_model_store.cc
+++ b/testing/scheduler_model_store.cc
@@ -1,4 +1,4 @@
-// The model's store: jobs as owners read them, saves that are lost or late.
+// The model's store: reads of jobs, and saves that may be lost or delayed.
 
 #include <chrono>
 #include <utility>
