--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -1,4 +1,4 @@
-// The model's workers: runs, ends, leases, and the judgement of each start.
+// The model's workers: runs, ends, leases, and the invariants of each start.
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,8 @@
 using scheduler::OrderOutcome;
 using std::chrono::milliseconds;
 
-// The longest time without contact, and a heartbeat.
+// Time within which an owner must have learned of a changed capacity: the
+// longest time without contact, and a heartbeat.
 constexpr base::Micros kCapacityNoticeTime = milliseconds(4500);
 
 }  // namespace
@@ -89,7 +90,8 @@
   });
 }
 
-// The worker is back under its id before its announcement goes: that changes.
+// The worker is back under its id before its announcement expires, so the
+// announcement changes instead of disappearing.
 void SchedulerModel::Restart(Worker& worker) {
   this->LogEvent(fmt::format("{} ends, to start again", worker.id));
   this->CountLosses(worker);
@@ -121,8 +123,8 @@
   }
 }
 
-// Nothing announces the end; another life comes on the box some seconds later,
-// and the announcement goes after three heartbeats.
+// The end of the life isn't announced. Another life starts on the box a few
+// seconds later, and the announcement expires after three missed heartbeats.
 void SchedulerModel::CrashWorker(Worker& worker) {
   this->CountLosses(worker);
   worker.alive = false;
@@ -145,7 +147,7 @@
     ++this->jobs.at(task.job).lost_workers[scheduler::PlaceOf(task)];
 }
 
-// A task under which three workers have crashed may be started twice more.
+// A task that has crashed three workers may be started at most twice more.
 void SchedulerModel::CheckCrashLimit(const scheduler::StartRun& order) {
   constexpr int kCrashes = 3;
   constexpr int kStartsBeyond = 3;
@@ -197,7 +199,7 @@
                       .job.spec.steps[static_cast<std::size_t>(task.step)]
                       .each;
   }
-  // A room that has shrunk counts once its owner must have heard of it.
+  // A reduced capacity counts once the owner must have learned of it.
   const bool may_be_unknown =
       this->now < worker.capacity_changed + kCapacityNoticeTime;
   const bool fits =
@@ -243,7 +245,7 @@
     this->EndRun(worker, task, how);
 }
 
-// The worker is told that ends up to this number are recorded.
+// Called when the worker learns that ends up to this number are recorded.
 void SchedulerModel::AcknowledgeEnds(Worker& worker,
                                      std::int64_t acknowledged) {
   for (const scheduler::ListedEnd& end : worker.ends) {
