--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -1,4 +1,4 @@
-// A scheduler under test, told and asked by hand.
+// A test fixture that drives a scheduler without a store or workers.
 
 #ifndef TESTING_SCHEDULER_BENCH_H_
 #define TESTING_SCHEDULER_BENCH_H_
@@ -13,6 +13,7 @@
 
 namespace quartzhoist::testing {
 
+// Returns the actions of one type.
 template <typename Wanted>
 std::vector<Wanted> Only(const std::vector<scheduler::Action>& actions) {
   std::vector<Wanted> found;
@@ -23,7 +24,7 @@
   return found;
 }
 
-// A scheduler with one pool, told and asked by hand.
+// A scheduler with one pool. The test passes it events and reads its actions.
 struct SchedulerBench {
   explicit SchedulerBench(std::uint64_t epoch) : scheduler(LimitsOf(epoch)) {
     jobs::Config config;
@@ -68,7 +69,7 @@
     return step;
   }
 
-  // A job of this step alone.
+  // Adds a job with this single step.
   void AddJob(const std::string& id,
               const jobs::Step& step = OneTask(),
               bool needs_advice = false) {
@@ -82,7 +83,8 @@
         scheduler::MakeJob(id, queue, spec, {}, this->now, {}), this->now);
   }
 
-  // The worker answers a look that is sent now, and that may grant a lease.
+  // Sends a look to the worker and delivers `listing` as its answer 10 ms
+  // later. The look grants a lease if `grant` is positive.
   void List(const std::string& worker,
             scheduler::Listing listing,
             base::Micros grant = {}) {
@@ -98,19 +100,19 @@
     this->scheduler.WorkersRecorded({this->LifeOf(worker)});
   }
 
-  // The life that is known under the id.
+  // Returns the worker life that the scheduler knows under the id.
   jobs::WorkerLife LifeOf(const std::string& id) const {
     const scheduler::Worker* known = this->scheduler.FindWorker(id);
     return known ? known->info.life : jobs::WorkerLife{.id = id};
   }
 
-  // The store confirms the ownership; nobody else takes over for 1.15 s.
+  // Confirms the ownership for the next 1.15 s.
   void Confirm() {
     this->scheduler.Confirmed(this->now,
                               this->now + std::chrono::milliseconds(1150));
   }
 
-  // A turn of the scheduler, later.
+  // Advances the time by 300 ms and runs a turn of the scheduler.
   std::vector<scheduler::Action> Turn() {
     this->now += std::chrono::milliseconds(300);
     this->Confirm();
@@ -118,7 +120,7 @@
     return this->scheduler.TakeActions();
   }
 
-  // Tells that all of these were saved.
+  // Reports that all of these saves succeeded.
   void Save(const std::vector<scheduler::SaveProgress>& saves) {
     for (const scheduler::SaveProgress& save : saves) {
       this->scheduler.Saved({.job = save.job,
@@ -130,7 +132,8 @@
     }
   }
 
-  // Turns until a start is ordered; saves whatever is to be saved.
+  // Runs up to eight turns, with all saves succeeding, and returns the first
+  // start; empty if there is none.
   scheduler::StartRun NextStart() {
     for (int i = 0; i < 8; ++i) {
       const std::vector<scheduler::Action> actions = this->Turn();
