--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -1,4 +1,4 @@
-// Tasks that crash the workers that start them.
+// Tests of tasks that crash the workers that start them.
 
 #include <rapidcheck.h>
 #include <boost/test/unit_test.hpp>
@@ -37,17 +37,10 @@
 
 }  // namespace
 
-// On real machines one task crashed each worker that started it, 10 ms after
-// the start. Whatever ran beside it was lost with the worker and put back into
-// the queue together with it, at once and with no trace of the crash; so the
-// same company was placed together again as soon as the loss was noted, each
-// 3.6 s, under one owner as under the next. Of one owner:
-//   19.995 run_started run 1002     20.005 does not answer (unknown)
-//   23.602 run_started run 1003     23.614 does not answer (unknown)
-//   28.208 run_unsettled run 1004   28.210 does not answer (unknown)
-//   31.273 run_started run 1005     31.321 does not answer (not_sent)
-//   34.863 run_started run 1006     34.876 does not answer (unknown)
-// Between 28.23 and 31.27 s five of the company ran elsewhere, unharmed.
+// Guards against a crash loop: one task crashed each worker that started it,
+// 10 ms after the start. All tasks on the worker were requeued without a record
+// of the crash, so the same tasks were placed together again and lost another
+// worker every 3.6 s, under each owner in turn.
 BOOST_AUTO_TEST_CASE(TaskThatCrashesItsWorkersIsGivenUp) {
   ModelJob crashing_job = MakeJob("crashing", 4);
   crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
@@ -62,8 +55,8 @@
   BOOST_TEST(model.crashed_workers() <= 3);
 }
 
-// What one owner knows of crashes, the next one goes by: each of them has seen
-// one or two, and none of them three.
+// Guards against owners that count only the crashes they saw themselves: each
+// owner sees one or two, and none sees three.
 BOOST_AUTO_TEST_CASE(CrashesThatEarlierOwnersSawCount) {
   ModelJob crashing_job = MakeJob("crashing", 1);
   crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
@@ -78,8 +71,8 @@
   BOOST_TEST(model.crashed_workers() <= 3);
 }
 
-// Of a lasting job one task may be away at a time. One that crashes its workers
-// is not started any more; the others are not stopped for it.
+// Only one task of the lasting job may be away at a time. The task that crashes
+// its workers is given up, and the other tasks must not be stopped for it.
 BOOST_AUTO_TEST_CASE(LastingTasksBesideACrashingOneServeOn) {
   ModelJob lasting = MakeJob("lasting", 4);
   lasting.spec.steps[0].lasting = true;
@@ -94,8 +87,8 @@
   BOOST_TEST(model.crashed_workers() <= 5);
 }
 
-// Whatever owners follow one another, stand still or are cut off, whatever
-// answers and saves are lost, and though workers crash by themselves as well.
+// The limit on starts of crashing tasks holds with takeovers, paused or
+// partitioned owners, lost answers and saves, and unrelated worker crashes.
 BOOST_AUTO_TEST_CASE(CrashingTasksAreStartedNoMoreThanTheyMay) {
   const bool holds = rc::check("crashing tasks are given up in time", [] {
     const auto odds = [](int most_per_mille) {
@@ -152,7 +145,8 @@
   BOOST_TEST(holds);
 }
 
-// Jobs that lost workers to others' tasks are completed, whoever owned.
+// Guards against giving up tasks that were lost together with a crashing one,
+// also across takeovers.
 BOOST_AUTO_TEST_CASE(CompanyOfCrashingTasksIsNotGivenUp) {
   const bool holds = rc::check("healthy jobs are completed", [] {
     std::vector<ModelJob> jobs;
@@ -181,9 +175,10 @@
                                               ? jobs::JobState::kCompleted
                                               : jobs::JobState::kFailed));
     }
-    // What an owner saw of a run that lived on, the next one does not know, and
-    // a start without an answer may never have begun: the two starts that are
-    // allowed beyond three crashes may be needed.
+    // With takeovers or lost answers, the two starts that are allowed after
+    // three crashes may be needed: an owner doesn't know which runs its
+    // predecessor saw running, and a start without an answer may never have
+    // been carried out.
     const bool is_fault_free =
         model.takeovers() == 0 && faults.lost_answer == 0.0;
     const int max_crashes_per_task = is_fault_free ? 3 : 5;
