--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -1,4 +1,4 @@
-// Single decisions about tasks under which workers were lost.
+// Tests of single decisions about tasks whose workers were lost.
 
 #include <string>
 #include <vector>
@@ -25,8 +25,9 @@
   return {.run = run, .box = box, .has_crashed = true, .was_seen = true};
 }
 
-// A pool's only worker is at work, so that a task that is to start alone waits.
-// Its step passed for one that fits nowhere, and the others of it waited too.
+// Guards against blocking a whole step: a task that must start alone waits for
+// an idle worker, its step was then treated as one that fits nowhere, and the
+// step's other tasks waited too.
 BOOST_AUTO_TEST_CASE(TaskThatWaitsForAnIdleWorkerHoldsUpNoOther) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
@@ -60,7 +61,7 @@
   BOOST_CHECK(AssessSuspicion({{Life("a"), Crash(1, "x")}}, {}, seconds(9)) ==
               Suspicion::kLow);
   BOOST_CHECK(AssessSuspicion(two, {}, seconds(9)) == Suspicion::kProbe);
-  // A third one of which it is not known yet whether it was a crash.
+  // A third loss, not yet known to be a crash.
   jobs::WorkerLosses three = two;
   three[Life("c")] = {.run = 3, .box = "z", .was_alone = true};
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kDeferred);
@@ -69,10 +70,10 @@
   BOOST_CHECK(AssessSuspicion(three, {4, 5}, seconds(9)) == Suspicion::kGiveUp);
   three[Life("c")].has_crashed = true;
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kGiveUp);
-  // In company it tells no more than the other two.
+  // Without a crash while it ran alone, the task is not proven to be the cause.
   three[Life("c")].was_alone = false;
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
-  // Always on the same box.
+  // All crashes on one box: the box may be the cause.
   jobs::WorkerLosses one_box{{Life("a"), Crash(1, "x")},
                              {Life("b"), Crash(2, "x")},
                              {Life("c"), Crash(3, "x")}};
@@ -80,8 +81,8 @@
   BOOST_CHECK(AssessSuspicion(one_box, {}, seconds(9)) == Suspicion::kProbe);
 }
 
-// A worker that answers again has not crashed; where another life answers on
-// its box, it has.
+// A worker that answers again has not crashed. If another life answers on its
+// box, it has.
 BOOST_AUTO_TEST_CASE(SilentWorkersFateSettlesTheSuspicion) {
   for (const bool answers : {true, false}) {
     Bench bench(1);
