--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -1,5 +1,6 @@
-// Tasks that wait for something else than room, and the boxes that their pool
-// draws meanwhile: 150 boxes in three pools.
+// Tests that tasks which wait for something other than capacity don't make
+// their pool take boxes from other pools. The fleet has 150 boxes in three
+// pools.
 
 #include <array>
 #include <map>
@@ -33,7 +34,7 @@
                                       StuckReason::kSize, StuckReason::kAdvice,
                                       StuckReason::kGivenUp};
 
-// Three crashes, and two last tries that were lost too.
+// Progress with three crashes, and two last tries that were lost as well.
 jobs::Progress ProgressOfGivenUpTask() {
   jobs::Progress progress;
   const jobs::TaskKey task{.step = {}, .index = 0};
@@ -49,7 +50,7 @@
   return progress;
 }
 
-// The pool of the tasks has ten boxes, two others have the rest, all idle.
+// The pool under test has ten boxes and two others have the rest, all idle.
 struct ThreePools {
   ThreePools() {
     jobs::Config config;
@@ -100,8 +101,7 @@
     this->bench.scheduler.AddJob(std::move(job), this->bench.now);
   }
 
-  // One that no box helps: over its quota, without a worker that suits it, too
-  // large, without advice, given up.
+  // Adds a job that another box in the pool would not help to start.
   void AddStuckJob(const std::string& pool, StuckReason reason) {
     const std::string id =
         "stuck-" + pool + std::to_string(static_cast<int>(reason));
@@ -117,7 +117,7 @@
                    progress, reason == StuckReason::kAdvice);
   }
 
-  // Plays turns of 0.3 s; boxes that are moved are back at once.
+  // Runs turns of 0.3 s. Boxes that are moved are back at once.
   void RunTurns(int turns) {
     for (int i = 0; i < turns; ++i) {
       const std::vector<Action> actions = this->bench.Turn();
@@ -154,12 +154,12 @@
   int worker_count = 0;
   int starts = 0;
   std::map<std::string, std::vector<ListedRun>> running;  // by worker
-  std::map<std::string, int> moved;  // boxes, by the pool they went to
+  std::map<std::string, int> moved;  // number of boxes by destination pool
 };
 
 }  // namespace
 
-// Guards against a full quota that takes everybody's boxes.
+// Guards against a task over its quota that takes boxes from other pools.
 BOOST_AUTO_TEST_CASE(LastingTaskOverItsQuotaTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kQuota);
@@ -168,8 +168,7 @@
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
-// Guards against a job over its quota that reserves a box for each of its
-// tasks.
+// Guards against a job over its quota that reserves a box for each task.
 BOOST_AUTO_TEST_CASE(LastingJobOverItsQuotaReservesNoBoxes) {
   ThreePools fleet;
   jobs::Step step = Bench::OneLastingTask();
@@ -181,7 +180,8 @@
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
-// Guards against a label that no worker has and that takes everybody's boxes.
+// Guards against a task whose label no worker has and that takes boxes from
+// other pools.
 BOOST_AUTO_TEST_CASE(LastingTaskThatNoWorkerSuitsTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kLabel);
@@ -190,7 +190,8 @@
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
-// Guards against a task larger than any worker that takes everybody's boxes.
+// Guards against a task larger than any worker that takes boxes from other
+// pools.
 BOOST_AUTO_TEST_CASE(LastingTaskLargerThanAnyWorkerTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kSize);
@@ -199,7 +200,8 @@
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
-// Guards against missing advice that takes everybody's boxes.
+// Guards against a task without required advice that takes boxes from other
+// pools.
 BOOST_AUTO_TEST_CASE(LastingTaskWithoutAdviceTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kAdvice);
@@ -208,7 +210,8 @@
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
-// Guards against given-up tasks that count as work and take everybody's boxes.
+// Guards against given-up tasks that count as waiting work and take boxes from
+// other pools.
 BOOST_AUTO_TEST_CASE(GivenUpTaskTakesNoBoxesAndDoesNotWait) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kGivenUp);
@@ -218,7 +221,7 @@
   BOOST_TEST(fleet.Pool("pool").waiting == 0);
 }
 
-// Guards against a pool that cannot get the one box that would help.
+// Guards against a pool that can't get the one box it needs.
 BOOST_AUTO_TEST_CASE(LastingTaskThatABoxWouldHoldGetsOne) {
   ThreePools fleet;
   jobs::Step many = Bench::OneLastingTask();
@@ -236,8 +239,8 @@
   BOOST_TEST(fleet.moved["pool"] <= 2);
 }
 
-// Guards against pools that starve beside idle boxes of others: drawn fleets,
-// work that fits, and tasks that wait for each other reason.
+// Guards against pools that starve while other pools have idle boxes. Draws
+// work that fits on half of the boxes, and stuck tasks for each reason.
 BOOST_AUTO_TEST_CASE(NoPoolStarvesBesideIdleBoxes) {
   const bool holds = rc::check("all work that fits is started", [] {
     ThreePools fleet;
@@ -248,7 +251,7 @@
           fleet.AddStuckJob(pool, reason);
       }
     }
-    // At most 75 boxes of 150 are needed, wherever they are.
+    // At most 75 of the 150 boxes are needed, whatever pool they are in.
     int tasks = 0;
     for (const std::string& pool : pools) {
       jobs::Step step = Bench::OneLastingTask();
@@ -262,7 +265,7 @@
     }
     fleet.RunTurns(120);
     RC_ASSERT(fleet.starts == tasks);
-    // What waits for something else draws a box now and then, no more.
+    // Stuck tasks may cause a few more moves, but not a steady stream.
     fleet.moved.clear();
     fleet.RunTurns(40);
     int moved = 0;
