--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -1,5 +1,5 @@
-// Promises of the scheduler, against a model of the store and the workers with
-// several owners at once.
+// Property tests of the scheduler's invariants against a model of the store and
+// the workers, with several owners active at once.
 
 #include <rapidcheck.h>
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,8 @@
   return step;
 }
 
-// Small, so that all lasting tasks and any other fit on every two workers.
+// Makes the step small enough for all lasting tasks and any other task to fit
+// on two workers.
 void MakeLasting(jobs::Step& step) {
   step.lasting = true;
   step.each = {.cpu_millis = 50, .memory_mb = 100, .gpus = 0};
@@ -95,12 +96,12 @@
   BOOST_TEST(Joined(model.violations()) == "");
   BOOST_CHECK(model.StateOf("chain") == jobs::JobState::kCompleted);
   BOOST_TEST(model.RunningTasks("lasting") == 4);
-  // Nothing was lost, so nothing was started twice.
+  // Without faults each task starts exactly once.
   BOOST_TEST(model.starts() == 3 + 2 + 4);
 }
 
-// Owners that follow one another sooner than a lease can last do not make the
-// tasks of a dead worker wait anew each time.
+// Guards against takeovers in short succession that restart the wait for a dead
+// worker's lease each time, so that its tasks never start elsewhere.
 BOOST_AUTO_TEST_CASE(TakeoversDoNotPutADeadWorkersTasksOff) {
   ModelJob job;
   job.id = "lasting";
@@ -118,15 +119,17 @@
   BOOST_TEST(model.RunningTasks("lasting") == 2);
 }
 
-// Owners that do not know that they were taken over save, and let workers
-// forget, what the next one has read before; parts of the store fall silent.
+// Guards against a second start of a finished task: an owner that doesn't know
+// of its takeover saves an end, and acknowledges it to the worker, after the
+// new owner has read the row. Parts of the store are unavailable meanwhile.
 BOOST_AUTO_TEST_CASE(WhatAnEarlierOwnerSavedIsNotStartedAgain) {
   const bool holds = rc::check("a saved end is known to the next owner", [] {
     std::vector<ModelJob> jobs = DrawJobs(4);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     ModelFaults faults;
     faults.store_outage = 0.5;
-    // A new owner reaches some workers late: the earlier one goes on with them.
+    // A new owner reaches some workers late, while the earlier owner still
+    // sends them orders.
     faults.partition = 2.0;
     SchedulerModel model(seed, faults, 5, jobs);
     for (int i = 0; i < 5; ++i) {
@@ -141,7 +144,8 @@
   BOOST_TEST(holds);
 }
 
-// A new owner may hear of a job from its worker before the store brings it.
+// Guards against a second start of a job that a new owner learns of from its
+// worker before the store delivers it.
 BOOST_AUTO_TEST_CASE(JobsThatTheirWorkersTellOfFirstRunOnce) {
   const bool holds = rc::check("a job that is heard of late runs once", [] {
     std::vector<ModelJob> jobs = DrawJobs(3);
@@ -218,10 +222,11 @@
   BOOST_TEST(holds);
 }
 
-// Owners stand still between a decision and its call, are replaced and wake;
-// calls are lost, late and made again; boxes take an earlier owner's call until
-// the next one has called them. A wave goes on meanwhile, and another pool
-// draws boxes: no more are away than the wave and the lasting job allow.
+// Owners are paused between a decision and its call, replaced, and resumed.
+// Calls are lost, delayed and repeated, and a box accepts an earlier owner's
+// calls until the next owner has called it. During an upkeep wave, and while
+// another pool takes boxes, no more boxes and tasks are away than the wave and
+// the lasting job allow.
 BOOST_AUTO_TEST_CASE(OwnersThatStandStillTakeNoMoreThanMayBeAway) {
   const bool holds = rc::check("no more is away than may be", [] {
     ModelJob lasting;
@@ -264,10 +269,9 @@
   BOOST_TEST(holds);
 }
 
-// Workers' capacity shrinks and grows again, also each second, while owners
-// change and orders are under way. Orders that a worker carries out seconds
-// late are left out: the platform's pages hold no owner to a time bound for
-// them.
+// Worker capacity drops up to twice a second and recovers, while owners change
+// and orders are under way. Orders that a worker carries out seconds late are
+// excluded, because the platform's pages set no time bound for them.
 BOOST_AUTO_TEST_CASE(RoomThatShrinksIsNotPassed) {
   const bool holds = rc::check("no start passes a room that has shrunk", [] {
     std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 8));
@@ -293,9 +297,9 @@
   BOOST_TEST(holds);
 }
 
-// A worker carries a start out late (2 to 6 s after it was sent), and the
-// daemon that sent it has been replaced, alone and together: what a cancelled
-// job still begins is stopped within five seconds of the last late start.
+// Guards against runs that a cancelled job starts late: a worker carries out a
+// start 2 to 6 s after it was sent, the owner that sent it has been replaced,
+// or both. Each run must be stopped within 5 s of the last late start.
 BOOST_AUTO_TEST_CASE(CancelledJobsStopThoughStartsAreLateAndTheirOwnerIsGone) {
   for (const double late : {0.0, 0.7}) {
     for (const bool is_replaced : {false, true}) {
@@ -315,8 +319,8 @@
             model.Cancel(job.id);
             if (is_replaced)
               model.TakeOver();
-            // Nothing is sent for the job from now on; the last late start
-            // comes within 6 s.
+            // No start is sent for the job any more; the last late one is
+            // carried out within 6 s.
             model.RunFor(seconds(6));
             model.RunFor(seconds(5));
             RC_LOG() << Joined(model.violations()) << model.History();
