--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -148,7 +148,7 @@
 // Guards against giving up tasks that were lost together with a crashing one,
 // also across takeovers.
 BOOST_AUTO_TEST_CASE(CompanyOfCrashingTasksIsNotGivenUp) {
-  const bool holds = rc::check("healthy jobs are completed", [] {
+  const bool holds = rc::check("jobs without crashing tasks are completed", [] {
     std::vector<ModelJob> jobs;
     for (int i = 0; i < 8; ++i) {
       ModelJob job =
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -123,7 +123,7 @@
 // of its takeover saves an end, and acknowledges it to the worker, after the
 // new owner has read the row. Parts of the store are unavailable meanwhile.
 BOOST_AUTO_TEST_CASE(WhatAnEarlierOwnerSavedIsNotStartedAgain) {
-  const bool holds = rc::check("a saved end is known to the next owner", [] {
+  const bool holds = rc::check("a finished task is not started again", [] {
     std::vector<ModelJob> jobs = DrawJobs(4);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     ModelFaults faults;
@@ -147,7 +147,7 @@
 // Guards against a second start of a job that a new owner learns of from its
 // worker before the store delivers it.
 BOOST_AUTO_TEST_CASE(JobsThatTheirWorkersTellOfFirstRunOnce) {
-  const bool holds = rc::check("a job that is heard of late runs once", [] {
+  const bool holds = rc::check("a job that is delivered late runs once", [] {
     std::vector<ModelJob> jobs = DrawJobs(3);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     ModelFaults faults;
@@ -170,8 +170,8 @@
 
 BOOST_AUTO_TEST_CASE(PromisesHoldUnderFaults) {
   const bool holds = rc::check(
-      "no task runs twice, too early, too often or beyond its worker's room; "
-      "and every job ends once the faults are over",
+      "no task runs twice, too early, too often or beyond its worker's "
+      "capacity, and every job ends after the faults",
       [] {
         const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(1, 5));
         const int workers = *rc::gen::inRange(2, 6);
@@ -200,8 +200,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(CancelledJobsStopForGood) {
-  const bool holds = rc::check(
-      "a cancelled job runs nothing more, whatever the owners missed", [] {
+  const bool holds =
+      rc::check("a cancelled job runs no more tasks, whatever the faults", [] {
         std::vector<ModelJob> jobs = DrawJobs(2);
         for (ModelJob& job : jobs) {
           if (job.spec.steps.size() == 1)
@@ -228,7 +228,7 @@
 // another pool takes boxes, no more boxes and tasks are away than the wave and
 // the lasting job allow.
 BOOST_AUTO_TEST_CASE(OwnersThatStandStillTakeNoMoreThanMayBeAway) {
-  const bool holds = rc::check("no more is away than may be", [] {
+  const bool holds = rc::check("no more is away than allowed", [] {
     ModelJob lasting;
     lasting.id = "lasting";
     lasting.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
@@ -273,7 +273,7 @@
 // and orders are under way. Orders that a worker carries out seconds late are
 // excluded, because the platform's pages set no time bound for them.
 BOOST_AUTO_TEST_CASE(RoomThatShrinksIsNotPassed) {
-  const bool holds = rc::check("no start passes a room that has shrunk", [] {
+  const bool holds = rc::check("no start exceeds a reduced capacity", [] {
     std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 8));
     ModelFaults faults;
     faults.capacity_drop = *rc::gen::inRange(100, 2000) / 1000.0;
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -41,7 +41,7 @@
       continue;
     const std::map<jobs::TaskId, WorkerRun> runs = worker.running;
     for (const auto& [task, run] : runs) {
-      this->CheckDisruption(task, "a call for " + name);
+      this->CheckDisruption(task, "call for " + name);
       worker.running.erase(task);
     }
     worker.alive = false;
@@ -220,8 +220,8 @@
         return entry.second.state == BoxState::kUpkeep;
       });
   if (down >= this->wave_limit)
-    this->ReportViolation(
-        fmt::format("{} begins its upkeep while {} are down", call.box, down));
+    this->ReportViolation(fmt::format(
+        "upkeep of {} starts while {} boxes are in upkeep", call.box, down));
   this->ShutDownBox(call.box, BoxState::kUpkeep, kUpkeepTime);
   box.had_upkeep = true;
   return BoxCallOutcome::kDone;
@@ -279,8 +279,8 @@
   }
   if (away >= step.may_be_away)
     this->ReportViolation(
-        fmt::format("{} ends {}.{} while {} of its step are away", by, task.job,
-                    task.index, away));
+        fmt::format("{} stops {}.{} while {} other tasks of its step are away",
+                    by, task.job, task.index, away));
   found->second.is_away_by_order = true;
 }
 
--- a/testing/scheduler_model_messages.cc
+++ b/testing/scheduler_model_messages.cc
@@ -120,7 +120,7 @@
         const auto run = worker.running.find(order.task);
         if (run != worker.running.end() && run->second.number == order.run &&
             !run->second.stopping) {
-          this->CheckDisruption(order.task, "a stop");
+          this->CheckDisruption(order.task, "stop order");
           run->second.stopping = true;
           run->second.ends = this->now + this->Between(0, 380);
         }
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -158,8 +158,8 @@
     return;
   if (++stored.starts_since_third_crash[place] == kStartsBeyond) {
     this->ReportViolation(fmt::format(
-        "{} step {} task {} run {}: started {} times more after {} workers "
-        "had crashed under it",
+        "{} step {} task {} run {}: started {} more times after it had crashed "
+        "{} workers",
         order.task.job, place.step, place.index, order.run, kStartsBeyond,
         kCrashes));
   }
@@ -175,10 +175,10 @@
   for (const auto& [id, other] : this->workers) {
     if (other.alive && other.running.contains(order.task))
       this->ReportViolation(
-          fmt::format("{} starts while it runs on {}", name, id));
+          fmt::format("{} starts while it is running on {}", name, id));
   }
   if (stored.recorded_done.contains(place))
-    this->ReportViolation(name + " starts though its end was noted");
+    this->ReportViolation(name + " starts although its end is recorded");
   const auto failed = stored.recorded_failures.find(place);
   const jobs::Step& step =
       stored.job.spec.steps[static_cast<std::size_t>(place.step)];
@@ -190,7 +190,8 @@
         stored.job.spec.steps[static_cast<std::size_t>(before)];
     for (int i = 0; i < earlier.tasks; ++i) {
       if (!stored.ever_done.contains({0, before, i}))
-        this->ReportViolation(name + " starts before an earlier step is done");
+        this->ReportViolation(name +
+                              " starts before a step it depends on is done");
     }
   }
   jobs::Resources used = step.each;
