--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -91,8 +91,8 @@
 // partitioned owners, lost answers and saves, and unrelated worker crashes.
 BOOST_AUTO_TEST_CASE(CrashingTasksAreStartedNoMoreThanTheyMay) {
   const bool holds = rc::check("crashing tasks are given up in time", [] {
-    const auto odds = [](int most_per_mille) {
-      return *rc::gen::inRange(0, most_per_mille) / 1000.0;
+    const auto odds = [](int max_per_mille) {
+      return *rc::gen::inRange(0, max_per_mille) / 1000.0;
     };
     std::vector<ModelJob> jobs;
     const int count = *rc::gen::inRange(2, 6);
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -51,8 +51,8 @@
 }
 
 ModelFaults DrawFaults() {
-  const auto odds = [](int most_per_mille) {
-    return *rc::gen::inRange(0, most_per_mille) / 1000.0;
+  const auto odds = [](int max_per_mille) {
+    return *rc::gen::inRange(0, max_per_mille) / 1000.0;
   };
   ModelFaults faults;
   faults.lost_answer = odds(150);
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(EveryJobEndsOnCalmDays) {
+BOOST_AUTO_TEST_CASE(JobsCompleteWithoutFaults) {
   std::vector<ModelJob> jobs(2);
   jobs[0].id = "chain";
   jobs[0].spec.steps = {MakeStep(3, 1000), MakeStep(2, 1000)};
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -28,7 +28,7 @@
 // Guards against blocking a whole step: a task that must start alone waits for
 // an idle worker, its step was then treated as one that fits nowhere, and the
 // step's other tasks waited too.
-BOOST_AUTO_TEST_CASE(TaskThatWaitsForAnIdleWorkerHoldsUpNoOther) {
+BOOST_AUTO_TEST_CASE(TaskThatWaitsForAnIdleWorkerDoesNotBlockItsStep) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
@@ -54,7 +54,7 @@
   BOOST_TEST(starts[0].task.index == 1);
 }
 
-BOOST_AUTO_TEST_CASE(LossesAreJudgedByWhatIsKnownOfThem) {
+BOOST_AUTO_TEST_CASE(SuspicionFollowsFromRecordedLosses) {
   const jobs::WorkerLosses two{{Life("a"), Crash(1, "x")},
                                {Life("b"), Crash(2, "y")}};
   BOOST_CHECK(AssessSuspicion({}, {}, seconds(9)) == Suspicion::kNone);
@@ -83,7 +83,7 @@
 
 // A worker that answers again has not crashed. If another life answers on its
 // box, it has.
-BOOST_AUTO_TEST_CASE(SilentWorkersFateSettlesTheSuspicion) {
+BOOST_AUTO_TEST_CASE(UnresolvedLossIsSettledByTheNextAnswer) {
   for (const bool answers : {true, false}) {
     Bench bench(1);
     bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
