--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -254,8 +254,8 @@
 
 // Fails a job with a task that crashes its workers. In a job with a lasting
 // step only the task itself is given up: stopping all lasting tasks at once
-// would exceed the number that may be away. A task that is placed or running
-// is handled once its run has ended.
+// would exceed the number that may be away. If that task is placed or running,
+// it is given up once its run has ended.
 void Scheduler::GiveUpCauses(Job& job, base::Micros now) {
   if (job.finished())
     return;
--- a/scheduler/suspects.h
+++ b/scheduler/suspects.h
@@ -20,7 +20,8 @@
   kNone,
   kLow,       // one worker was lost; any task that ran there may be the cause
   kProbe,     // start alone, so that a crash affects no other task
-  kDeferred,  // don't start until it is known whether the workers crashed
+  kDeferred,  // don't start yet: it may become known whether the workers
+              // crashed, or a last try of a lasting task is delayed
   kGiveUp,    // don't start any more
 };
 
