--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -1,4 +1,4 @@
-// Tasks that crash the workers that start them.
+// Tests of tasks that crash the workers that start them.
 
 #include <rapidcheck.h>
 #include <boost/test/unit_test.hpp>
@@ -37,49 +37,42 @@
 
 }  // namespace
 
-// On real machines one task crashed each worker that started it, 10 ms after
-// the start. Whatever ran beside it was lost with the worker and put back into
-// the queue together with it, at once and with no trace of the crash; so the
-// same company was placed together again as soon as the loss was noted, each
-// 3.6 s, under one owner as under the next. Of one owner:
-//   19.995 run_started run 1002     20.005 does not answer (unknown)
-//   23.602 run_started run 1003     23.614 does not answer (unknown)
-//   28.208 run_unsettled run 1004   28.210 does not answer (unknown)
-//   31.273 run_started run 1005     31.321 does not answer (not_sent)
-//   34.863 run_started run 1006     34.876 does not answer (unknown)
-// Between 28.23 and 31.27 s five of the company ran elsewhere, unharmed.
+// Guards against a crash loop: one task crashed each worker that started it,
+// 10 ms after the start. All tasks on the worker were requeued without a record
+// of the crash, so the same tasks were placed together again and lost another
+// worker every 3.6 s, under each owner in turn.
 BOOST_AUTO_TEST_CASE(TaskThatCrashesItsWorkersIsGivenUp) {
-  ModelJob guilty = MakeJob("guilty", 4);
-  guilty.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
-  const std::vector<ModelJob> jobs = {guilty, MakeJob("beside", 2),
+  ModelJob crashing_job = MakeJob("crashing", 4);
+  crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
+  const std::vector<ModelJob> jobs = {crashing_job, MakeJob("beside", 2),
                                       MakeJob("other", 5)};
   SchedulerModel model(1, {}, 5, jobs);
   model.RunFor(seconds(60));
-  BOOST_TEST(Joined(model.broken()) == "");
-  BOOST_CHECK(model.StateOf("guilty") == jobs::JobState::kFailed);
+  BOOST_TEST(Joined(model.violations()) == "");
+  BOOST_CHECK(model.StateOf("crashing") == jobs::JobState::kFailed);
   BOOST_CHECK(model.StateOf("beside") == jobs::JobState::kCompleted);
   BOOST_CHECK(model.StateOf("other") == jobs::JobState::kCompleted);
   BOOST_TEST(model.crashed_workers() <= 3);
 }
 
-// What one owner knows of crashes, the next one goes by: each of them has seen
-// one or two, and none of them three.
+// Guards against owners that count only the crashes they saw themselves: each
+// owner sees one or two, and none sees three.
 BOOST_AUTO_TEST_CASE(CrashesThatEarlierOwnersSawCount) {
-  ModelJob guilty = MakeJob("guilty", 1);
-  guilty.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
-  SchedulerModel model(1, {}, 5, {guilty, MakeJob("other", 5)});
+  ModelJob crashing_job = MakeJob("crashing", 1);
+  crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
+  SchedulerModel model(1, {}, 5, {crashing_job, MakeJob("other", 5)});
   for (int i = 0; i < 10; ++i) {
     model.RunFor(seconds(4));
     model.TakeOver();
   }
-  BOOST_TEST(Joined(model.broken()) == "");
-  BOOST_CHECK(model.StateOf("guilty") == jobs::JobState::kFailed);
+  BOOST_TEST(Joined(model.violations()) == "");
+  BOOST_CHECK(model.StateOf("crashing") == jobs::JobState::kFailed);
   BOOST_CHECK(model.StateOf("other") == jobs::JobState::kCompleted);
   BOOST_TEST(model.crashed_workers() <= 3);
 }
 
-// Of a lasting job one task may be away at a time. One that crashes its workers
-// is not started any more; the others are not stopped for it.
+// Only one task of the lasting job may be away at a time. The task that crashes
+// its workers is given up, and the other tasks must not be stopped for it.
 BOOST_AUTO_TEST_CASE(LastingTasksBesideACrashingOneServeOn) {
   ModelJob lasting = MakeJob("lasting", 4);
   lasting.spec.steps[0].lasting = true;
@@ -89,17 +82,17 @@
   model.RunFor(seconds(40));
   model.TakeOver();
   model.RunFor(seconds(10));
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_TEST(model.RunningTasks("lasting") == 3);
   BOOST_TEST(model.crashed_workers() <= 5);
 }
 
-// Whatever owners follow one another, stand still or are cut off, whatever
-// answers and saves are lost, and though workers crash by themselves as well.
+// The limit on starts of crashing tasks holds with takeovers, paused or
+// partitioned owners, lost answers and saves, and unrelated worker crashes.
 BOOST_AUTO_TEST_CASE(CrashingTasksAreStartedNoMoreThanTheyMay) {
   const bool holds = rc::check("crashing tasks are given up in time", [] {
-    const auto odds = [](int most_per_mille) {
-      return *rc::gen::inRange(0, most_per_mille) / 1000.0;
+    const auto odds = [](int max_per_mille) {
+      return *rc::gen::inRange(0, max_per_mille) / 1000.0;
     };
     std::vector<ModelJob> jobs;
     const int count = *rc::gen::inRange(2, 6);
@@ -119,30 +112,30 @@
     faults.lost_save = odds(200);
     faults.late_save = odds(100);
     faults.crash = odds(100);
-    faults.cut = odds(300);
+    faults.partition = odds(300);
     faults.takeover = odds(200);
     faults.late_job = odds(300);
-    faults.part_away = odds(300);
-    faults.freeze = odds(100);
+    faults.store_outage = odds(300);
+    faults.owner_pause = odds(100);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     SchedulerModel model(seed, faults, *rc::gen::inRange(3, 8), jobs);
     model.RunFor(seconds(40));
     model.Heal();
     model.RunFor(seconds(60));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
       RC_LOG() << job.id << " is "
                << base::NameOf(jobs::kJobStateNames, model.StateOf(job.id))
                << "\n";
       const jobs::Step& step = job.spec.steps[0];
-      const auto guilty = static_cast<int>(job.crashing.size());
+      const auto crashing_tasks = static_cast<int>(job.crashing.size());
       const int running = model.RunningTasks(job.id);
       if (step.lasting) {
-        RC_ASSERT(running <= step.tasks - guilty);
-        RC_ASSERT(running >=
-                  step.tasks - guilty - model.TasksThatMayBeGivenUp(job.id));
-      } else if (guilty > 0) {
+        RC_ASSERT(running <= step.tasks - crashing_tasks);
+        RC_ASSERT(running >= step.tasks - crashing_tasks -
+                                 model.TasksThatMayBeGivenUp(job.id));
+      } else if (crashing_tasks > 0) {
         RC_ASSERT(model.StateOf(job.id) == jobs::JobState::kFailed);
       } else {
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
@@ -152,9 +145,10 @@
   BOOST_TEST(holds);
 }
 
-// Jobs that lost workers to others' tasks are completed, whoever owned.
+// Guards against giving up tasks that were lost together with a crashing one,
+// also across takeovers.
 BOOST_AUTO_TEST_CASE(CompanyOfCrashingTasksIsNotGivenUp) {
-  const bool holds = rc::check("healthy jobs are completed", [] {
+  const bool holds = rc::check("jobs without crashing tasks are completed", [] {
     std::vector<ModelJob> jobs;
     for (int i = 0; i < 8; ++i) {
       ModelJob job =
@@ -172,21 +166,23 @@
     model.RunFor(seconds(30));
     model.Heal();
     model.RunFor(seconds(40));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
-    int guilty = 0;
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
+    int crashing_jobs = 0;
     for (const ModelJob& job : jobs) {
-      guilty += !job.crashing.empty();
+      crashing_jobs += !job.crashing.empty();
       RC_ASSERT(model.StateOf(job.id) == (job.crashing.empty()
                                               ? jobs::JobState::kCompleted
                                               : jobs::JobState::kFailed));
     }
-    // What an owner saw of a run that lived on, the next one does not know, and
-    // a start without an answer may never have begun: the two starts that are
-    // allowed beyond three crashes may be needed.
-    const bool is_plain = model.takeovers() == 0 && faults.lost_answer == 0.0;
-    const int most = is_plain ? 3 : 5;
-    RC_ASSERT(model.crashed_workers() <= most * guilty);
+    // With takeovers or lost answers, the two starts that are allowed after
+    // three crashes may be needed: an owner doesn't know which runs its
+    // predecessor saw running, and a start without an answer may never have
+    // been carried out.
+    const bool is_fault_free =
+        model.takeovers() == 0 && faults.lost_answer == 0.0;
+    const int max_crashes_per_task = is_fault_free ? 3 : 5;
+    RC_ASSERT(model.crashed_workers() <= max_crashes_per_task * crashing_jobs);
   });
   BOOST_TEST(holds);
 }
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -1,5 +1,5 @@
-// Promises of the scheduler, against a model of the store and the workers with
-// several owners at once.
+// Property tests of the scheduler's invariants against a model of the store and
+// the workers, with several owners active at once.
 
 #include <rapidcheck.h>
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,8 @@
   return step;
 }
 
-// Small, so that all lasting tasks and any other fit on every two workers.
+// Makes the step small enough for all lasting tasks and any other task to fit
+// on two workers.
 void MakeLasting(jobs::Step& step) {
   step.lasting = true;
   step.each = {.cpu_millis = 50, .memory_mb = 100, .gpus = 0};
@@ -50,8 +51,8 @@
 }
 
 ModelFaults DrawFaults() {
-  const auto odds = [](int most_per_mille) {
-    return *rc::gen::inRange(0, most_per_mille) / 1000.0;
+  const auto odds = [](int max_per_mille) {
+    return *rc::gen::inRange(0, max_per_mille) / 1000.0;
   };
   ModelFaults faults;
   faults.lost_answer = odds(150);
@@ -60,11 +61,11 @@
   faults.lost_save = odds(200);
   faults.late_save = odds(100);
   faults.crash = odds(100);
-  faults.cut = odds(300);
+  faults.partition = odds(300);
   faults.takeover = odds(200);
   faults.late_job = odds(300);
-  faults.part_away = odds(300);
-  faults.freeze = odds(100);
+  faults.store_outage = odds(300);
+  faults.owner_pause = odds(100);
   faults.failing_run = odds(200);
   return faults;
 }
@@ -82,7 +83,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(EveryJobEndsOnCalmDays) {
+BOOST_AUTO_TEST_CASE(JobsCompleteWithoutFaults) {
   std::vector<ModelJob> jobs(2);
   jobs[0].id = "chain";
   jobs[0].spec.steps = {MakeStep(3, 1000), MakeStep(2, 1000)};
@@ -92,15 +93,15 @@
   jobs[1].spec.steps[0].lasting = true;
   SchedulerModel model(1, {}, 4, jobs);
   model.RunFor(seconds(15));
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_CHECK(model.StateOf("chain") == jobs::JobState::kCompleted);
   BOOST_TEST(model.RunningTasks("lasting") == 4);
-  // Nothing was lost, so nothing was started twice.
+  // Without faults each task starts exactly once.
   BOOST_TEST(model.starts() == 3 + 2 + 4);
 }
 
-// Owners that follow one another sooner than a lease can last do not make the
-// tasks of a dead worker wait anew each time.
+// Guards against takeovers in short succession that restart the wait for a dead
+// worker's lease each time, so that its tasks never start elsewhere.
 BOOST_AUTO_TEST_CASE(TakeoversDoNotPutADeadWorkersTasksOff) {
   ModelJob job;
   job.id = "lasting";
@@ -109,25 +110,27 @@
   SchedulerModel model(1, {}, 3, {job});
   model.RunFor(seconds(3));
   BOOST_REQUIRE(model.RunningTasks("lasting") == 2);
-  model.Darken("lasting");
+  model.SilenceWorkersOf("lasting");
   for (int i = 0; i < 5; ++i) {
     model.TakeOver();
     model.RunFor(seconds(4));
   }
-  BOOST_TEST(Joined(model.broken()) == "");
+  BOOST_TEST(Joined(model.violations()) == "");
   BOOST_TEST(model.RunningTasks("lasting") == 2);
 }
 
-// Owners that do not know that they were taken over save, and let workers
-// forget, what the next one has read before; parts of the store fall silent.
+// Guards against a second start of a finished task: an owner that doesn't know
+// of its takeover saves an end, and acknowledges it to the worker, after the
+// new owner has read the row. Parts of the store are unavailable meanwhile.
 BOOST_AUTO_TEST_CASE(WhatAnEarlierOwnerSavedIsNotStartedAgain) {
-  const bool holds = rc::check("a saved end is known to the next owner", [] {
+  const bool holds = rc::check("a finished task is not started again", [] {
     std::vector<ModelJob> jobs = DrawJobs(4);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     ModelFaults faults;
-    faults.part_away = 0.5;
-    // A new owner reaches some workers late: the earlier one goes on with them.
-    faults.cut = 2.0;
+    faults.store_outage = 0.5;
+    // A new owner reaches some workers late, while the earlier owner still
+    // sends them orders.
+    faults.partition = 2.0;
     SchedulerModel model(seed, faults, 5, jobs);
     for (int i = 0; i < 5; ++i) {
       model.RunFor(std::chrono::milliseconds(*rc::gen::inRange(20, 2500)));
@@ -135,15 +138,16 @@
     }
     model.Heal();
     model.RunFor(seconds(20));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
   });
   BOOST_TEST(holds);
 }
 
-// A new owner may hear of a job from its worker before the store brings it.
+// Guards against a second start of a job that a new owner learns of from its
+// worker before the store delivers it.
 BOOST_AUTO_TEST_CASE(JobsThatTheirWorkersTellOfFirstRunOnce) {
-  const bool holds = rc::check("a job that is heard of late runs once", [] {
+  const bool holds = rc::check("a job that is delivered late runs once", [] {
     std::vector<ModelJob> jobs = DrawJobs(3);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     ModelFaults faults;
@@ -154,8 +158,8 @@
       model.TakeOver();
     }
     model.RunFor(seconds(15));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
       if (!IsLasting(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
@@ -166,8 +170,8 @@
 
 BOOST_AUTO_TEST_CASE(PromisesHoldUnderFaults) {
   const bool holds = rc::check(
-      "no task runs twice, too early, too often or beyond its worker's room; "
-      "and every job ends once the faults are over",
+      "no task runs twice, too early, too often or beyond its worker's "
+      "capacity, and every job ends after the faults",
       [] {
         const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(1, 5));
         const int workers = *rc::gen::inRange(2, 6);
@@ -176,8 +180,8 @@
         model.RunFor(seconds(25));
         model.Heal();
         model.RunFor(seconds(45));
-        RC_LOG() << Joined(model.broken()) << model.History();
-        RC_ASSERT(model.broken().empty());
+        RC_LOG() << Joined(model.violations()) << model.History();
+        RC_ASSERT(model.violations().empty());
         for (const ModelJob& job : jobs) {
           RC_LOG() << job.id << " is "
                    << base::NameOf(jobs::kJobStateNames, model.StateOf(job.id))
@@ -196,8 +200,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(CancelledJobsStopForGood) {
-  const bool holds = rc::check(
-      "a cancelled job runs nothing more, whatever the owners missed", [] {
+  const bool holds =
+      rc::check("a cancelled job runs no more tasks, whatever the faults", [] {
         std::vector<ModelJob> jobs = DrawJobs(2);
         for (ModelJob& job : jobs) {
           if (job.spec.steps.size() == 1)
@@ -210,20 +214,21 @@
         model.RunFor(seconds(5));
         model.Heal();
         model.RunFor(seconds(25));
-        RC_LOG() << Joined(model.broken()) << model.History();
-        RC_ASSERT(model.broken().empty());
+        RC_LOG() << Joined(model.violations()) << model.History();
+        RC_ASSERT(model.violations().empty());
         RC_ASSERT(model.RunningTasks(jobs[0].id) == 0);
         RC_ASSERT(jobs::IsFinal(model.StateOf(jobs[0].id)));
       });
   BOOST_TEST(holds);
 }
 
-// Owners stand still between a decision and its call, are replaced and wake;
-// calls are lost, late and made again; boxes take an earlier owner's call until
-// the next one has called them. A wave goes on meanwhile, and another pool
-// draws boxes: no more are away than the wave and the lasting job allow.
+// Owners are paused between a decision and its call, replaced, and resumed.
+// Calls are lost, delayed and repeated, and a box accepts an earlier owner's
+// calls until the next owner has called it. During an upkeep wave, and while
+// another pool takes boxes, no more boxes and tasks are away than the wave and
+// the lasting job allow.
 BOOST_AUTO_TEST_CASE(OwnersThatStandStillTakeNoMoreThanMayBeAway) {
-  const bool holds = rc::check("no more is away than may be", [] {
+  const bool holds = rc::check("no more is away than allowed", [] {
     ModelJob lasting;
     lasting.id = "lasting";
     lasting.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
@@ -244,11 +249,11 @@
     }
     ModelFaults faults;
     faults.takeover = 0.25;
-    faults.freeze = 0.4;
-    faults.held_call = *rc::gen::inRange(0, 300) / 1000.0;
+    faults.owner_pause = 0.4;
+    faults.pause_before_call = *rc::gen::inRange(0, 300) / 1000.0;
     faults.late_call = *rc::gen::inRange(0, 150) / 1000.0;
     faults.lost_answer = *rc::gen::inRange(0, 150) / 1000.0;
-    faults.cut = *rc::gen::inRange(0, 500) / 1000.0;
+    faults.partition = *rc::gen::inRange(0, 500) / 1000.0;
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     SchedulerModel model(seed, faults, *rc::gen::inRange(5, 9), jobs);
     model.RunFor(seconds(2));
@@ -256,25 +261,24 @@
     model.RunFor(seconds(25));
     model.Heal();
     model.RunFor(seconds(60));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     RC_ASSERT(model.UpkeepsDone() > 0);
     RC_ASSERT(model.RunningTasks(lasting.id) == lasting.spec.steps[0].tasks);
   });
   BOOST_TEST(holds);
 }
 
-// Workers' capacity shrinks and grows again, also each second, while owners
-// change and orders are under way. Orders that a worker carries out seconds
-// late are left out: the platform's pages hold no owner to a time bound for
-// them.
+// Worker capacity drops up to twice a second and recovers, while owners change
+// and orders are under way. Orders that a worker carries out seconds late are
+// excluded, because the platform's pages set no time bound for them.
 BOOST_AUTO_TEST_CASE(RoomThatShrinksIsNotPassed) {
-  const bool holds = rc::check("no start passes a room that has shrunk", [] {
+  const bool holds = rc::check("no start exceeds a reduced capacity", [] {
     std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 8));
     ModelFaults faults;
-    faults.shrink = *rc::gen::inRange(100, 2000) / 1000.0;
+    faults.capacity_drop = *rc::gen::inRange(100, 2000) / 1000.0;
     faults.takeover = *rc::gen::inRange(0, 200) / 1000.0;
-    faults.freeze = *rc::gen::inRange(0, 100) / 1000.0;
+    faults.owner_pause = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_answer = *rc::gen::inRange(0, 150) / 1000.0;
     faults.lost_order = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_save = *rc::gen::inRange(0, 200) / 1000.0;
@@ -283,8 +287,8 @@
     model.RunFor(seconds(25));
     model.Heal();
     model.RunFor(seconds(45));
-    RC_LOG() << Joined(model.broken()) << model.History();
-    RC_ASSERT(model.broken().empty());
+    RC_LOG() << Joined(model.violations()) << model.History();
+    RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
       if (!IsLasting(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
@@ -293,9 +297,9 @@
   BOOST_TEST(holds);
 }
 
-// A worker carries a start out late (2 to 6 s after it was sent), and the
-// daemon that sent it has been replaced, alone and together: what a cancelled
-// job still begins is stopped within five seconds of the last late start.
+// Guards against runs that a cancelled job starts late: a worker carries out a
+// start 2 to 6 s after it was sent, the owner that sent it has been replaced,
+// or both. Each run must be stopped within 5 s of the last late start.
 BOOST_AUTO_TEST_CASE(CancelledJobsStopThoughStartsAreLateAndTheirOwnerIsGone) {
   for (const double late : {0.0, 0.7}) {
     for (const bool is_replaced : {false, true}) {
@@ -315,12 +319,12 @@
             model.Cancel(job.id);
             if (is_replaced)
               model.TakeOver();
-            // Nothing is sent for the job from now on; the last late start
-            // comes within 6 s.
+            // No start is sent for the job any more; the last late one is
+            // carried out within 6 s.
             model.RunFor(seconds(6));
             model.RunFor(seconds(5));
-            RC_LOG() << Joined(model.broken()) << model.History();
-            RC_ASSERT(model.broken().empty());
+            RC_LOG() << Joined(model.violations()) << model.History();
+            RC_ASSERT(model.violations().empty());
             RC_ASSERT(model.RunningTasks(job.id) == 0);
           });
       BOOST_TEST(holds);
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -1,4 +1,4 @@
-// Single decisions about tasks under which workers were lost.
+// Tests of single decisions about tasks whose workers were lost.
 
 #include <string>
 #include <vector>
@@ -25,9 +25,10 @@
   return {.run = run, .box = box, .has_crashed = true, .was_seen = true};
 }
 
-// A pool's only worker is at work, so that a task that is to start alone waits.
-// Its step passed for one that fits nowhere, and the others of it waited too.
-BOOST_AUTO_TEST_CASE(TaskThatWaitsForAnIdleWorkerHoldsUpNoOther) {
+// Guards against blocking a whole step: a task that must start alone waits for
+// an idle worker, its step was then treated as one that fits nowhere, and the
+// step's other tasks waited too.
+BOOST_AUTO_TEST_CASE(TaskThatWaitsForAnIdleWorkerDoesNotBlockItsStep) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
@@ -53,36 +54,36 @@
   BOOST_TEST(starts[0].task.index == 1);
 }
 
-BOOST_AUTO_TEST_CASE(LossesAreJudgedByWhatIsKnownOfThem) {
+BOOST_AUTO_TEST_CASE(SuspicionFollowsFromRecordedLosses) {
   const jobs::WorkerLosses two{{Life("a"), Crash(1, "x")},
                                {Life("b"), Crash(2, "y")}};
-  BOOST_CHECK(Judge({}, {}, seconds(9)) == Suspicion::kNone);
-  BOOST_CHECK(Judge({{Life("a"), Crash(1, "x")}}, {}, seconds(9)) ==
-              Suspicion::kSlight);
-  BOOST_CHECK(Judge(two, {}, seconds(9)) == Suspicion::kProbe);
-  // A third one of which it is not known yet whether it was a crash.
+  BOOST_CHECK(AssessSuspicion({}, {}, seconds(9)) == Suspicion::kNone);
+  BOOST_CHECK(AssessSuspicion({{Life("a"), Crash(1, "x")}}, {}, seconds(9)) ==
+              Suspicion::kLow);
+  BOOST_CHECK(AssessSuspicion(two, {}, seconds(9)) == Suspicion::kProbe);
+  // A third loss, not yet known to be a crash.
   jobs::WorkerLosses three = two;
   three[Life("c")] = {.run = 3, .box = "z", .was_alone = true};
-  BOOST_CHECK(Judge(three, {}, seconds(1)) == Suspicion::kHeld);
-  BOOST_CHECK(Judge(three, {}, seconds(9)) == Suspicion::kProbe);
-  BOOST_CHECK(Judge(three, {4}, seconds(9)) == Suspicion::kProbe);
-  BOOST_CHECK(Judge(three, {4, 5}, seconds(9)) == Suspicion::kCause);
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kDeferred);
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion(three, {4}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion(three, {4, 5}, seconds(9)) == Suspicion::kGiveUp);
   three[Life("c")].has_crashed = true;
-  BOOST_CHECK(Judge(three, {}, seconds(1)) == Suspicion::kCause);
-  // In company it tells no more than the other two.
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kGiveUp);
+  // Without a crash while it ran alone, the task is not proven to be the cause.
   three[Life("c")].was_alone = false;
-  BOOST_CHECK(Judge(three, {}, seconds(9)) == Suspicion::kProbe);
-  // Always on the same box.
+  BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
+  // All crashes on one box: the box may be the cause.
   jobs::WorkerLosses one_box{{Life("a"), Crash(1, "x")},
                              {Life("b"), Crash(2, "x")},
                              {Life("c"), Crash(3, "x")}};
   one_box[Life("c")].was_alone = true;
-  BOOST_CHECK(Judge(one_box, {}, seconds(9)) == Suspicion::kProbe);
+  BOOST_CHECK(AssessSuspicion(one_box, {}, seconds(9)) == Suspicion::kProbe);
 }
 
-// A worker that answers again has not crashed; where another life answers on
-// its box, it has.
-BOOST_AUTO_TEST_CASE(SilentWorkersFateSettlesTheSuspicion) {
+// A worker that answers again has not crashed. If another life answers on its
+// box, it has.
+BOOST_AUTO_TEST_CASE(UnresolvedLossIsSettledByTheNextAnswer) {
   for (const bool answers : {true, false}) {
     Bench bench(1);
     bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -15,25 +15,26 @@
 constexpr base::Micros kStep = milliseconds(20);
 constexpr base::Micros kLease = milliseconds(5000);
 constexpr base::Micros kGrantBound = milliseconds(10'000);
-// Lines of what happened that are kept for a failing test.
-constexpr std::size_t kHistory = 120;
-// Another owner comes so long after the last confirmation; the last one knows
-// itself to be the owner for a little less.
-constexpr base::Micros kOwnerSilence = milliseconds(1300);
-constexpr base::Micros kOwnerCertain = milliseconds(1150);
-// Spans on clocks that differ by 2%, at most.
-constexpr double kClockSlack = 1.05;
-// With so many crashes under it a task may be given up (the platform's pages).
-constexpr int kCrashesOfAGivenUpTask = 2;
+// Number of events kept to diagnose a failed test.
+constexpr std::size_t kHistoryLines = 120;
+// A new owner starts this long after the last confirmation. A confirmed owner
+// may act for a shorter time, so that the two don't overlap.
+constexpr base::Micros kTakeoverDelay = milliseconds(1300);
+constexpr base::Micros kOwnershipValidity = milliseconds(1150);
+// Bounds a time span on another clock. Worker clocks are up to 2% slow; the
+// rest is a margin.
+constexpr double kClockDriftFactor = 1.05;
+// A task may be given up from this many crashes on (the platform's pages).
+constexpr int kMinCrashesToGiveUp = 2;
 
 }  // namespace
 
 SchedulerModel::SchedulerModel(std::uint64_t seed,
                                const ModelFaults& chosen,
                                int worker_count,
-                               const std::vector<ModelJob>& handed_in)
+                               const std::vector<ModelJob>& submitted)
     : random(seed), faults(chosen) {
-  for (const ModelJob& job : handed_in) {
+  for (const ModelJob& job : submitted) {
     StoredJob& stored = this->jobs[job.id];
     stored.job = job;
     stored.progress = jobs::EncodeProgress({});
@@ -42,7 +43,7 @@
   }
   for (int i = 0; i < worker_count; ++i)
     this->AddBox("pool");
-  this->Succeed();
+  this->StartNewOwner();
 }
 
 bool SchedulerModel::Chance(double odds) {
@@ -55,21 +56,22 @@
       least_ms, most_ms)(this->random));
 }
 
-void SchedulerModel::After(base::Micros delay, std::function<void()> action) {
+void SchedulerModel::ScheduleAfter(base::Micros delay,
+                                   std::function<void()> action) {
   this->events.push_back({.at = this->now + delay,
                           .order = ++this->event_count,
                           .action = std::move(action)});
 }
 
-void SchedulerModel::Broke(const std::string& what) {
-  this->faults_found.push_back(
+void SchedulerModel::ReportViolation(const std::string& what) {
+  this->violations_found.push_back(
       fmt::format("{:.2f} s: {}", base::Seconds(this->now), what));
 }
 
-void SchedulerModel::Record(const std::string& what) {
+void SchedulerModel::LogEvent(const std::string& what) {
   this->history.push_back(
       fmt::format("{:.2f} s: {}", base::Seconds(this->now), what));
-  if (this->history.size() > kHistory)
+  if (this->history.size() > kHistoryLines)
     this->history.pop_front();
 }
 
@@ -78,7 +80,8 @@
   for (const std::string& line : this->history)
     text += line + "\n";
   for (const Owner& owner : this->owners) {
-    text += fmt::format("owner {}{}\n", owner.epoch, owner.gone ? " gone" : "");
+    text += fmt::format("owner {}{}\n", owner.epoch,
+                        owner.is_fenced ? " gone" : "");
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
           "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
@@ -105,7 +108,7 @@
   worker.id = fmt::format("w{}", ++this->worker_lives);
   worker.born_ms = base::Millis(this->now);
   worker.box = box;
-  worker.capacity = kCapacity;
+  worker.capacity = kWorkerCapacity;
   worker.clock_rate = this->Chance(0.5) ? 1.0 : 0.98;
   worker.clock_offset = this->Between(0, 1'000'000);
   const scheduler::WorkerInfo info = this->InfoOf(worker);
@@ -126,7 +129,7 @@
           .capacity = worker.capacity};
 }
 
-void SchedulerModel::Darken(const std::string& job) {
+void SchedulerModel::SilenceWorkersOf(const std::string& job) {
   std::vector<std::string> ids;
   for (const auto& [id, worker] : this->workers) {
     const bool runs_it =
@@ -138,15 +141,15 @@
   for (const std::string& id : ids) {
     Worker& worker = this->workers.at(id);
     worker.alive = false;
-    worker.dark = true;
+    worker.silent = true;
     worker.running.clear();
     this->boxes.erase(worker.box);
     this->AddBox("pool");
   }
 }
 
-// A worker is in the stored list, as held by this owner, before it is granted a
-// lease.
+// Stores the listed workers as held by this owner. This precedes each worker's
+// first lease from it.
 void SchedulerModel::RecordListed(Owner& owner) {
   std::vector<jobs::WorkerLife> held;
   for (const auto& [life, worker] : owner.scheduler->all_workers()) {
@@ -158,74 +161,75 @@
   owner.scheduler->WorkersRecorded(held);
 }
 
-// Others count from when they saw the last confirmation.
+// The takeover delay counts from the last confirmation that was seen.
 void SchedulerModel::TakeOver() {
   this->is_confirming = false;
-  this->RunFor(kOwnerSilence);
-  this->Succeed();
+  this->RunFor(kTakeoverDelay);
+  this->StartNewOwner();
 }
 
-// A new owner reads the store and knows every worker that may hold a lease.
-// The old one is not told: it acts on, unconfirmed.
-void SchedulerModel::Succeed() {
+// Starts an owner that reads the store, including every worker that may hold a
+// lease. The previous owner isn't told: it goes on without confirmations.
+void SchedulerModel::StartNewOwner() {
   const std::uint64_t epoch = this->owners.size() + 1;
   scheduler::Limits limits;
   limits.lease = kLease;
   limits.grant_bound = kGrantBound;
   limits.longest_grant = base::Micros(static_cast<std::int64_t>(
-      static_cast<double>(kLease.count()) * kClockSlack));
+      static_cast<double>(kLease.count()) * kClockDriftFactor));
   limits.longest_lease = base::Micros(static_cast<std::int64_t>(
-      static_cast<double>(kLongestLease.count()) * kClockSlack));
+      static_cast<double>(kLongestLease.count()) * kClockDriftFactor));
   limits.stop_time = milliseconds(400);
   limits.epoch = epoch;
   limits.fleet = {.move_time = kMoveTime, .upkeep_time = kUpkeepTime};
   Owner owner;
   owner.epoch = epoch;
   owner.scheduler = std::make_unique<scheduler::Scheduler>(limits);
-  scheduler::Scheduler& made = *owner.scheduler;
+  scheduler::Scheduler& successor = *owner.scheduler;
   const auto bound = base::Micros(static_cast<std::int64_t>(
-      static_cast<double>(kGrantBound.count()) * kClockSlack));
+      static_cast<double>(kGrantBound.count()) * kClockDriftFactor));
   this->calls_epoch = epoch;
   std::vector<scheduler::BoxCall> open;
   for (const auto& [box, call] : this->calls)
     open.push_back(call);
-  made.InheritBoxCalls(open, this->now);
+  successor.InheritBoxCalls(open, this->now);
   for (const auto& [id, worker] : this->workers) {
     const scheduler::WorkerInfo info = this->InfoOf(worker);
     const auto lease = this->leases.find(id);
     if (lease != this->leases.end()) {
-      // What the earlier owner held, this one carries with its end.
+      // A lease of the previous owner is kept until its latest possible end.
       std::optional<base::Micros>& until = lease->second.until;
       if (!until)
         until = this->last_confirmed + bound;
       scheduler::WorkerInfo held = info;
       held.life = lease->second.life;
-      made.InheritWorker(held, *until);
+      successor.InheritWorker(held, *until);
     }
-    if (!worker.dark && worker.announced)
-      made.PutWorker(info, this->now);
+    if (!worker.silent && worker.announced)
+      successor.PutWorker(info, this->now);
   }
   jobs::Config config;
   config.services = {{.name = "pool"}, {.name = "other"}};
-  made.SetConfig(config, this->now);
+  successor.SetConfig(config, this->now);
   const std::size_t index = this->owners.size();
   for (const auto& [id, stored] : this->jobs) {
     jobs::Progress progress = jobs::DecodeProgress(stored.progress).value();
-    // As the entry box does: what is over and placed nowhere is not read.
+    // As the entry box does, skips jobs that are over and placed nowhere.
     if (progress.IsOver())
       continue;
     if (this->Chance(this->faults.late_job)) {
-      this->After(this->Between(20, 600),
-                  [this, index, job = id] { this->BringJob(index, job); });
+      this->ScheduleAfter(this->Between(20, 600), [this, index, job = id] {
+        this->DeliverJobFromFeed(index, job);
+      });
       continue;
     }
-    scheduler::Job job = this->Make(id, std::move(progress));
+    scheduler::Job job = this->MakeJob(id, std::move(progress));
     job.version = stored.version;
-    made.AddJob(std::move(job), this->now);
+    successor.AddJob(std::move(job), this->now);
     if (stored.cancelled)
-      made.CancelJob(id, this->now);
+      successor.CancelJob(id, this->now);
   }
-  this->TellWave(made);
+  this->SendWave(successor);
   this->owners.push_back(std::move(owner));
   this->is_confirming = true;
   this->Confirm();
@@ -239,8 +243,8 @@
 
 void SchedulerModel::Step() {
   this->now += kStep;
-  this->Disturb();
-  // Due messages, in order of time.
+  this->InjectFaults();
+  // Deliver the messages that are due, in order of time.
   std::vector<Event> due;
   std::erase_if(this->events, [&](Event& event) {
     if (event.at > this->now)
@@ -255,98 +259,102 @@
     event.action();
   for (auto& [id, worker] : this->workers) {
     if (worker.alive)
-      this->WorkOn(worker);
+      this->AdvanceRuns(worker);
   }
   this->ReturnBoxes();
-  this->NotePresence();
+  this->UpdatePresence();
   this->Confirm();
-  this->ForgetSettledCalls();
+  this->EraseSettledCalls();
   for (std::size_t i = 0; i < this->owners.size(); ++i)
-    this->Act(i);
+    this->RunOwner(i);
 }
 
-// Only the newest owner is confirmed by the store.
+// The store confirms only the newest owner.
 void SchedulerModel::Confirm() {
   Owner& owner = this->owners.back();
-  if (!this->is_confirming || this->now < owner.frozen_until || owner.gone)
+  if (!this->is_confirming || this->now < owner.paused_until || owner.is_fenced)
     return;
   this->last_confirmed = this->now;
-  owner.certain_until = this->now + kOwnerCertain;
+  owner.certain_until = this->now + kOwnershipValidity;
   owner.scheduler->Confirmed(this->now, owner.certain_until);
 }
 
-void SchedulerModel::Disturb() {
-  const double a_step = base::Seconds(kStep);
-  if (this->Chance(this->faults.crash * a_step)) {
-    auto at = std::next(
+void SchedulerModel::InjectFaults() {
+  const double step_seconds = base::Seconds(kStep);
+  if (this->Chance(this->faults.crash * step_seconds)) {
+    auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    if (at->second.alive) {
-      this->CountLosses(at->second);
-      at->second.alive = false;
-      at->second.running.clear();
-      this->boxes.erase(at->second.box);
+    if (picked->second.alive) {
+      this->CountLosses(picked->second);
+      picked->second.alive = false;
+      picked->second.running.clear();
+      this->boxes.erase(picked->second.box);
       this->AddBox("pool");
     }
   }
-  if (this->Chance(this->faults.restart * a_step)) {
-    auto at = std::next(
+  if (this->Chance(this->faults.restart * step_seconds)) {
+    auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    if (at->second.alive)
-      this->Restart(at->second);
+    if (picked->second.alive)
+      this->Restart(picked->second);
   }
-  if (this->Chance(this->faults.shrink * a_step)) {
-    auto at = std::next(
+  if (this->Chance(this->faults.capacity_drop * step_seconds)) {
+    auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    const jobs::Resources whole = at->second.capacity;
-    if (at->second.alive && whole == kCapacity) {
-      this->ChangeCapacity(
-          at->first,
-          {.cpu_millis = 1000, .memory_mb = whole.memory_mb / 2, .gpus = 0});
-      this->After(this->Between(1000, 6000), [this, id = at->first] {
-        this->ChangeCapacity(id, kCapacity);
-      });
+    const jobs::Resources full_capacity = picked->second.capacity;
+    if (picked->second.alive && full_capacity == kWorkerCapacity) {
+      this->ChangeCapacity(picked->first,
+                           {.cpu_millis = 1000,
+                            .memory_mb = full_capacity.memory_mb / 2,
+                            .gpus = 0});
+      this->ScheduleAfter(this->Between(1000, 6000),
+                          [this, id = picked->first] {
+                            this->ChangeCapacity(id, kWorkerCapacity);
+                          });
     }
   }
-  if (this->Chance(this->faults.part_away * a_step)) {
-    auto at = std::next(
+  if (this->Chance(this->faults.store_outage * step_seconds)) {
+    auto picked = std::next(
         this->jobs.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->jobs.size()));
-    at->second.away_until = this->now + this->Between(1000, 6000);
+    picked->second.unavailable_until = this->now + this->Between(1000, 6000);
   }
-  if (this->Chance(this->faults.cut * a_step)) {
+  if (this->Chance(this->faults.partition * step_seconds)) {
     Owner& owner = this->owners[this->random() % this->owners.size()];
-    const auto at = std::next(
+    const auto picked = std::next(
         this->workers.begin(),
         static_cast<std::ptrdiff_t>(this->random() % this->workers.size()));
-    const std::string id = at->first;
-    owner.cut_from.insert(id);
+    const std::string id = picked->first;
+    owner.partitioned_from.insert(id);
     const std::size_t index =
         static_cast<std::size_t>(&owner - this->owners.data());
-    this->After(this->Between(500, 8000),
-                [this, index, id] { this->owners[index].cut_from.erase(id); });
+    this->ScheduleAfter(this->Between(500, 8000), [this, index, id] {
+      this->owners[index].partitioned_from.erase(id);
+    });
   }
-  if (this->Chance(this->faults.freeze * a_step))
-    this->owners.back().frozen_until = this->now + this->Between(1000, 6000);
-  if (this->Chance(this->faults.takeover * a_step) && this->owners.size() < 6 &&
-      this->is_confirming) {
+  if (this->Chance(this->faults.owner_pause * step_seconds))
+    this->owners.back().paused_until = this->now + this->Between(1000, 6000);
+  if (this->Chance(this->faults.takeover * step_seconds) &&
+      this->owners.size() < 6 && this->is_confirming) {
     this->is_confirming = false;
-    this->After(kOwnerSilence, [this] { this->Succeed(); });
+    this->ScheduleAfter(kTakeoverDelay, [this] { this->StartNewOwner(); });
   }
 }
 
-// What runs there runs on; owners hear of it from the worker's announcement.
+// Running tasks are not affected. Owners learn of the change from the worker's
+// announcement.
 void SchedulerModel::ChangeCapacity(const std::string& id,
                                     const jobs::Resources& capacity) {
   Worker& worker = this->workers.at(id);
   worker.earlier_capacity = worker.capacity;
   worker.capacity_changed = this->now;
   worker.capacity = capacity;
-  this->Record(fmt::format("{} has {} thousandths of a core now", id,
-                           capacity.cpu_millis));
-  this->After(this->Between(20, 1500), [this, id] {
+  this->LogEvent(fmt::format("{} has {} thousandths of a core now", id,
+                             capacity.cpu_millis));
+  this->ScheduleAfter(this->Between(20, 1500), [this, id] {
     const Worker& there = this->workers.at(id);
     if (!there.alive || !there.announced)
       return;
@@ -358,8 +366,8 @@
 void SchedulerModel::Heal() {
   this->faults = {};
   for (Owner& owner : this->owners) {
-    owner.cut_from.clear();
-    owner.frozen_until = {};
+    owner.partitioned_from.clear();
+    owner.paused_until = {};
   }
 }
 
@@ -369,22 +377,23 @@
     owner.scheduler->CancelJob(job, this->now);
 }
 
-void SchedulerModel::Act(std::size_t index) {
+void SchedulerModel::RunOwner(std::size_t index) {
   Owner& owner = this->owners[index];
-  if (this->now < owner.frozen_until || owner.gone)
+  if (this->now < owner.paused_until || owner.is_fenced)
     return;
   this->ListBoxes(index);
-  // A stale owner's list is refused for the newer one's epoch in it.
+  // The store refuses the list of a stale owner because of its epoch.
   if (index + 1 == this->owners.size())
     this->RecordListed(owner);
   owner.scheduler->Advance(this->now);
   for (const scheduler::Action& action : owner.scheduler->TakeActions())
-    this->Carry(index, action);
+    this->Dispatch(index, action);
   if (owner.scheduler->fenced())
-    owner.gone = true;
+    owner.is_fenced = true;
 }
 
-void SchedulerModel::Carry(std::size_t owner, const scheduler::Action& action) {
+void SchedulerModel::Dispatch(std::size_t owner,
+                              const scheduler::Action& action) {
   if (const auto* start = std::get_if<scheduler::StartRun>(&action))
     this->SendStart(owner, *start);
   else if (const auto* stop = std::get_if<scheduler::StopRun>(&action))
@@ -396,28 +405,28 @@
   else if (const auto* read = std::get_if<scheduler::ReadJob>(&action))
     this->ReadJob(owner, read->job);
   else if (const auto* move = std::get_if<scheduler::MoveBox>(&action))
-    this->Record(owner, *move);
+    this->RecordCall(owner, *move);
   else if (const auto* upkeep = std::get_if<scheduler::UpkeepBox>(&action))
-    this->Record(owner, *upkeep);
+    this->RecordCall(owner, *upkeep);
   else if (const auto* lost = std::get_if<scheduler::WorkerLost>(&action))
-    this->Record(fmt::format(
+    this->LogEvent(fmt::format(
         "owner {}: {} is lost ({}) with {} runs", this->owners[owner].epoch,
         lost->worker.id, base::NameOf(scheduler::kLossSignNames, lost->sign),
         lost->runs.size()));
   else if (const auto* again = std::get_if<scheduler::WorkerRestarted>(&action))
-    this->Record(fmt::format(
+    this->LogEvent(fmt::format(
         "owner {}: {} has started again, {} runs may be there",
         this->owners[owner].epoch, again->worker.id, again->moved_runs));
   else if (const auto* task = std::get_if<scheduler::TaskGivenUp>(&action))
-    this->Record(fmt::format("owner {}: {} {}.{} is given up",
-                             this->owners[owner].epoch, task->job,
-                             task->task.step.step, task->task.index));
+    this->LogEvent(fmt::format("owner {}: {} {}.{} is given up",
+                               this->owners[owner].epoch, task->job,
+                               task->task.step.step, task->task.index));
   else if (const auto* note = std::get_if<scheduler::Note>(&action))
-    this->Record(fmt::format("owner {}: {}: {}", this->owners[owner].epoch,
-                             note->subject, note->text));
+    this->LogEvent(fmt::format("owner {}: {}: {}", this->owners[owner].epoch,
+                               note->subject, note->text));
 }
 
-// --- What came of it ---
+// --- Results ---
 
 jobs::JobState SchedulerModel::StateOf(const std::string& job) const {
   return jobs::DecodeProgress(this->jobs.at(job).progress)->state;
@@ -425,10 +434,9 @@
 
 int SchedulerModel::TasksThatMayBeGivenUp(const std::string& job) const {
   const auto& lost = this->jobs.at(job).lost_workers;
-  return static_cast<int>(
-      std::count_if(lost.begin(), lost.end(), [](const auto& entry) {
-        return entry.second >= kCrashesOfAGivenUpTask;
-      }));
+  return static_cast<int>(std::count_if(
+      lost.begin(), lost.end(),
+      [](const auto& entry) { return entry.second >= kMinCrashesToGiveUp; }));
 }
 
 int SchedulerModel::RunningTasks(const std::string& job) const {
