--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -191,8 +191,9 @@
                                     this->confirmed_at + this->GrantBound());
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
     const std::int64_t deadline = this->scheduler.Deadline(id, end);
-    const bool wanted = worker.listed && worker.recorded && !worker.idle() &&
-                        worker.failed_calls == 0 && deadline > 0;
+    const bool wanted = worker.has_listing && worker.is_lease_recorded &&
+                        !worker.idle() && worker.failed_calls == 0 &&
+                        deadline > 0;
     if (!wanted)
       continue;
     this->scheduler.Granted(id, end);
@@ -392,7 +393,7 @@
   const scheduler::Worker* known = this->scheduler.FindWorker(worker);
   // Looks renew the lease; a start only sees that it has one.
   const base::Micros end =
-      std::min(std::max(known->lease_end, now + kStartLease),
+      std::min(std::max(known->latest_lease_end, now + kStartLease),
                this->scheduler.LeaseEnd(now));
   const std::int64_t deadline = this->scheduler.Deadline(worker, end);
   const bool wanted = this->scheduler.StillWanted(order);
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -162,12 +162,12 @@
 LeaseRecord Manager::ListWorkers(base::Micros now) const {
   LeaseRecord record{.epoch = this->epoch, .workers = {}};
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
-    if (!worker.listed && worker.lease_end <= now)
+    if (!worker.has_listing && worker.latest_lease_end <= now)
       continue;
     record.workers.push_back(
         {.worker = worker.info,
-         .held = worker.listed,
-         .until_store_ms = this->store.StoreMillis(worker.lease_end)});
+         .held = worker.has_listing,
+         .until_store_ms = this->store.StoreMillis(worker.latest_lease_end)});
   }
   return record;
 }
@@ -294,7 +294,7 @@
                                {"born_ms", id.born_ms},
                                {"box", worker.info.box},
                                {"pool", worker.info.service},
-                               {"listed", worker.listed},
+                               {"listed", worker.has_listing},
                                {"failed_calls", worker.failed_calls},
                                {"failure_rate", worker.failure_rate},
                                {"runs", std::move(runs)}});
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -29,9 +29,10 @@
 // For how long, at least, the run was on the worker by what that has listed. An
 // owner that stood still reads an old listing late: it counts from its asking.
 base::Micros HeardRunning(const Run& run, const Worker& worker) {
-  if (run.answered == base::Micros::zero())
+  if (run.start_answered_at == base::Micros::zero())
     return {};
-  return std::max(worker.listed_sent - run.answered, base::Micros::zero());
+  return std::max(worker.listing_requested_at - run.start_answered_at,
+                  base::Micros::zero());
 }
 
 // The worker has told of the run; or an earlier owner placed it, and did not
@@ -40,7 +41,7 @@
              const TaskPlace& place,
              const Worker& worker,
              const Run& run) {
-  if (run.answered > base::Micros::zero())
+  if (run.start_answered_at > base::Micros::zero())
     return true;
   const auto known = job.progress.losses.find(KeyOf(place));
   const bool is_noted = known != job.progress.losses.end() &&
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -56,12 +56,12 @@
     Job* job = this->FindJob(end.task.job);
     if (job && !ended.lasting) {
       JobStory& story = job->story;
-      story.longest_run = std::max(story.longest_run, now - ended.since);
+      story.longest_run = std::max(story.longest_run, now - ended.decided_at);
     }
     if (job && end.how == RunEnd::kDone && !ended.adopted && !ended.lasting) {
       const jobs::Step& step = StepOf(*job, PlaceOf(end.task));
       this->run_times.Learn(step.image.empty() ? job->queue.name : step.image,
-                            now - ended.since);
+                            now - ended.decided_at);
     }
   }
   // 2. The task's fate.
@@ -235,11 +235,11 @@
   std::vector<jobs::TaskId> slow;
   for (const auto& [id, run] : worker.runs) {
     const Job* job = this->FindJob(id.job);
-    const bool unseen = run.progressed == base::Micros::zero();
+    const bool unseen = run.progress_changed_at == base::Micros::zero();
     if (run.state != RunState::kRunning || unseen || run.pace < 100 || !job ||
         !Exists(*job, PlaceOf(id)) || StepOf(*job, PlaceOf(id)).gang)
       continue;
-    if (run.percent < 100 && now - run.progressed > kStallTime)
+    if (run.percent < 100 && now - run.progress_changed_at > kStallTime)
       stalled.push_back(id);
     else if (this->IsCrawling(*job, id, run, now))
       slow.push_back(id);
@@ -264,7 +264,7 @@
     return false;
   const base::Micros expected = this->run_times.Expect(
       step.image.empty() ? job.queue.name : step.image, base::Micros::zero());
-  const base::Micros elapsed = now - run.since;
+  const base::Micros elapsed = now - run.decided_at;
   if (expected <= base::Micros::zero() || elapsed < kSlowTimes * expected)
     return false;
   const base::Micros left = elapsed * (100 - run.percent) / run.percent;
@@ -293,15 +293,15 @@
 void Scheduler::Acknowledge(Worker& worker) {
   while (!worker.pending_ends.empty()) {
     const PendingEnd& end = worker.pending_ends.front();
-    if (end.is_held)
+    if (end.awaits_job)
       return;
     const Job* job = this->FindJob(end.job);
     if (job && job->saved_change < end.change)
       return;
-    worker.acknowledged = end.number;
+    worker.last_recorded_end = end.number;
     worker.pending_ends.pop_front();
   }
-  worker.acknowledged = worker.processed;
+  worker.last_recorded_end = worker.last_processed_end;
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -51,15 +51,15 @@
     box.worker = id;
     // A lease that ran out in these books may have been renewed by another
     // owner: only an answer says that the box is empty.
-    box.up = worker.announced && worker.is_described && worker.listed &&
+    box.up = worker.is_announced && worker.is_described && worker.has_listing &&
              !worker.info.draining && !worker.runs_presumed_over;
     box.idle = worker.idle();
     box.cores = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0;
     box.busy_cores = static_cast<double>(worker.used.cpu_millis) / 1000.0;
-    box.lasting = worker.lasting;
+    box.lasting = worker.lasting_runs;
     for (const auto& [task, run] : worker.runs) {
       needs[box.pool][this->PriorityOf(task)].now_cores +=
-          static_cast<double>(run.takes.cpu_millis) / 1000.0;
+          static_cast<double>(run.reserved.cpu_millis) / 1000.0;
     }
     view.boxes.push_back(std::move(box));
   }
@@ -166,7 +166,7 @@
                         base::Micros now) {
   this->fleet.SetWave(wave, begun, now);
   for (const auto& [id, worker] : this->workers) {
-    if (worker.listed)
+    if (worker.has_listing)
       this->fleet.BoxAnswered(worker.info.box);
   }
 }
@@ -233,7 +233,7 @@
   const auto worker = this->workers.find(task.worker);
   return task.at_work && worker != this->workers.end() &&
          worker->second.failed_calls == 0 &&
-         now - worker->second.last_answer < kSeenLately;
+         now - worker->second.last_answer_at < kSeenLately;
 }
 
 // A task is not interrupted for nothing: another worker must have room for it.
@@ -253,7 +253,8 @@
                      task.worker == entry.first;
             });
         return worker.info.service == job->queue.service &&
-               this->Usable(worker, now) && jobs::Fits(takes, worker.room()) &&
+               this->Usable(worker, now) &&
+               jobs::Fits(takes, worker.free_capacity()) &&
                (most == 0 || here < most);
       });
 }
@@ -283,8 +284,8 @@
   for (const auto& [id, worker] : this->workers) {
     if (worker.info.box != box)
       continue;
-    if (worker.listed)
-      evidence.heard_ago = now - worker.last_answer;
+    if (worker.has_listing)
+      evidence.heard_ago = now - worker.last_answer_at;
     evidence.runs_presumed_over = worker.runs_presumed_over;
   }
   return evidence;
--- a/scheduler/inheritance.cc
+++ b/scheduler/inheritance.cc
@@ -30,7 +30,7 @@
         lost.push_back({place, placement});
       continue;
     }
-    if (worker->listed)
+    if (worker->has_listing)
       continue;
     task.state = TaskState::kPlaced;
     task.run = placement.run;
@@ -48,7 +48,7 @@
                            Worker& worker,
                            base::Micros now) {
   Run run = this->RunOf(job, StepOf(job, place), number, RunState::kInherited);
-  run.since = now;
+  run.decided_at = now;
   run.adopted = true;
   AddRun(worker, IdOf(job, place), std::move(run));
 }
@@ -66,7 +66,7 @@
         Exists(job, place) && worker && worker->runs.contains(IdOf(job, place));
     if (is_known)
       continue;
-    const bool may_run = Exists(job, place) && worker && !worker->listed;
+    const bool may_run = Exists(job, place) && worker && !worker->has_listing;
     if (may_run) {
       this->InheritRun(job, place, placement.run, *worker, now);
     } else {
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -46,38 +46,40 @@
     return;
   Worker& worker = *answered;
   // 1. It answers: its clock is known, and its lease renewed.
-  worker.look_in_flight = false;
-  worker.leased_until = std::max(worker.leased_until, worker.look_grant);
-  worker.told = std::max(worker.told, worker.look_acknowledged);
-  worker.is_in_doubt = false;
+  worker.poll_in_flight = false;
+  worker.earliest_lease_end =
+      std::max(worker.earliest_lease_end, worker.poll_lease_end);
+  worker.last_acknowledged_end =
+      std::max(worker.last_acknowledged_end, worker.poll_acknowledged_end);
+  worker.may_have_restarted = false;
   if (worker.failed_calls > 0)
     this->actions.emplace_back(Note{worker.info.life.id, "answers again"});
-  if (!worker.listed) {
+  if (!worker.has_listing) {
     ++this->worker_change_count;
     this->fleet.BoxAnswered(worker.info.box);
     // From now on it refuses every earlier owner's grant: lasting tasks of one
     // that died 3 s after a takeover had waited for 7 s more.
-    if (!worker.has_foreign_lease)
-      worker.lease_end =
-          std::min(worker.lease_end, now + this->limits.longest_grant);
+    if (!worker.may_hold_earlier_lease)
+      worker.latest_lease_end =
+          std::min(worker.latest_lease_end, now + this->limits.longest_grant);
   }
-  worker.listed = true;
+  worker.has_listing = true;
   worker.failed_calls = 0;
   worker.runs_presumed_over = false;
-  worker.last_answer = now;
-  worker.listed_sent = worker.look_sent;
+  worker.last_answer_at = now;
+  worker.listing_requested_at = worker.poll_sent_at;
   worker.clock_ms = listing.clock_ms;
-  worker.clock_read = now;
+  worker.clock_read_at = now;
   this->SettleLosses(worker, now);
   // 2. Ends before runs: a task that ended may be listed as running again.
   bool has_news = false;
   for (const ListedEnd& end : listing.ended) {
-    if (end.number <= worker.processed) {
+    if (end.number <= worker.last_processed_end) {
       this->NoteSkippedEnd(worker, end);
       continue;
     }
     this->TakeEnd(worker, end, now);
-    worker.processed = end.number;
+    worker.last_processed_end = end.number;
     has_news = true;
   }
   // 3. What runs there.
@@ -89,16 +91,18 @@
   this->PaceFillers(worker);
   this->Acknowledge(worker);
   // Ends that it may not be told of yet are listed again at once.
-  const bool repeats = worker.acknowledged > worker.told;
-  worker.next_look = has_news || repeats ? now + kPauseAfterEnds : now;
+  const bool repeats = worker.last_recorded_end > worker.last_acknowledged_end;
+  worker.next_poll_at = has_news || repeats ? now + kPauseAfterEnds : now;
 }
 
 void Scheduler::NoteSkippedEnd(const Worker& worker, const ListedEnd& end) {
   const auto run = worker.runs.find(end.task);
   if (run == worker.runs.end() || run->second.number != end.run)
     return;
-  this->actions.emplace_back(EndSkipped{
-      .worker = worker.info.life, .end = end, .ends_read = worker.processed});
+  this->actions.emplace_back(
+      EndSkipped{.worker = worker.info.life,
+                 .end = end,
+                 .ends_read = worker.last_processed_end});
 }
 
 void Scheduler::TakeRunning(Worker& worker,
@@ -119,13 +123,14 @@
   if (run.state == RunState::kStarting || run.state == RunState::kUnsettled ||
       run.state == RunState::kInherited)
     run.state = RunState::kRunning;
-  if (run.answered == base::Micros::zero())
-    run.answered = now;
+  if (run.start_answered_at == base::Micros::zero())
+    run.start_answered_at = now;
   run.missing_since = {};
-  run.is_seen = true;
+  run.is_confirmed = true;
   run.possible_loss.reset();
-  if (run.percent != listed.percent || run.progressed == base::Micros::zero())
-    run.progressed = now;
+  if (run.percent != listed.percent ||
+      run.progress_changed_at == base::Micros::zero())
+    run.progress_changed_at = now;
   run.percent = listed.percent;
   run.load = listed.load;
   this->WatchSuspect(worker, listed.task, run);
@@ -150,12 +155,12 @@
                          base::Micros now) {
   Job* job = this->FindJob(listed.task.job);
   Run run{.number = listed.run, .state = RunState::kRunning};
-  run.since = now;
-  run.answered = now;
+  run.decided_at = now;
+  run.start_answered_at = now;
   run.adopted = true;
-  run.is_seen = true;
+  run.is_confirmed = true;
   run.percent = listed.percent;
-  run.progressed = now;
+  run.progress_changed_at = now;
   run.load = listed.load;
   if (!job) {
     this->HoldRun(worker, listed, now);
@@ -164,22 +169,22 @@
   const bool known = Exists(*job, PlaceOf(listed.task));
   if (known) {
     const jobs::Step& step = StepOf(*job, PlaceOf(listed.task));
-    run.takes = step.each;
-    run.counts = step.each;
-    run.counted = &this->quotas.UseOf(job->organisation);
+    run.reserved = step.each;
+    run.quota_usage = step.each;
+    run.organisation_usage = &this->quotas.UseOf(job->organisation);
     run.lasting = step.lasting;
     run.fills = step.fills;
     run.image = step.image;
     run.target_ms = step.target_ms;
     if (step.fills)
-      run.takes.cpu_millis = 0;
+      run.reserved.cpu_millis = 0;
   }
   // No task of the job: what it takes is not known.
-  run.is_held = !known;
+  run.has_unknown_resources = !known;
   AddRun(worker, listed.task, run);
   // It runs, so it has a lease, whoever granted it.
-  worker.lease_end =
-      std::max(worker.lease_end, now + this->limits.longest_grant);
+  worker.latest_lease_end =
+      std::max(worker.latest_lease_end, now + this->limits.longest_grant);
   if (known) {
     Task& task = TaskAt(*job, PlaceOf(listed.task));
     // What runs goes before what is only planned.
@@ -231,18 +236,18 @@
       continue;
     // The listing may be older than the order's answer. Under this owner's
     // epoch no earlier owner's order can follow.
-    const bool start_settled =
-        run.state == RunState::kRunning && run.answered < worker.look_sent;
-    const bool stop_settled = run.stop_answered > base::Micros::zero() &&
-                              run.stop_answered < worker.look_sent;
+    const bool start_settled = run.state == RunState::kRunning &&
+                               run.start_answered_at < worker.poll_sent_at;
+    const bool stop_settled = run.stop_answered_at > base::Micros::zero() &&
+                              run.stop_answered_at < worker.poll_sent_at;
     const bool inherited = run.state == RunState::kInherited;
     if (!start_settled && !stop_settled && !inherited)
       continue;
     // What is being stopped, by whatever order, keeps its room until its end is
     // listed; one that was never there has no end.
     if (run.missing_since == base::Micros::zero())
-      run.missing_since = worker.look_sent;
-    else if (worker.look_sent > run.missing_since + this->limits.stop_time)
+      run.missing_since = worker.poll_sent_at;
+    else if (worker.poll_sent_at > run.missing_since + this->limits.stop_time)
       over.emplace_back(task, run);
   }
   for (const auto& [task, run] : over) {
@@ -279,7 +284,7 @@
   if (!found)
     return;
   Worker& worker = *found;
-  worker.look_in_flight = false;
+  worker.poll_in_flight = false;
   if (outcome == OrderOutcome::kFenced)
     return;
   if (++worker.failed_calls == 1) {
@@ -287,7 +292,7 @@
         Note{life.id, fmt::format("does not answer ({})",
                                   base::NameOf(kOrderOutcomeNames, outcome))});
   }
-  worker.next_look =
+  worker.next_poll_at =
       now + std::min(kLookAgain * worker.failed_calls, kLookAgainMost);
 }
 
@@ -313,12 +318,12 @@
   Run& run = entry->second;
   Job* job = this->FindJob(order.task.job);
   if (worker.info.life != order.worker)
-    worker.lease_end =
-        std::max(worker.lease_end, now + this->limits.longest_lease);
+    worker.latest_lease_end =
+        std::max(worker.latest_lease_end, now + this->limits.longest_lease);
   if (outcome == OrderOutcome::kDone) {
-    run.answered = now;
+    run.start_answered_at = now;
     this->NoteClock(worker, order, run, clock_ms, now);
-    worker.unanswered_starts = 0;
+    worker.consecutive_unanswered_starts = 0;
     if (job)
       job->begun = true;
     if (run.state == RunState::kStarting)
@@ -328,9 +333,9 @@
   if (outcome == OrderOutcome::kUnknown) {
     if (run.state == RunState::kStarting)
       run.state = RunState::kUnsettled;
-    run.unsettled = now;
-    NoteUnanswered(worker,
-                   {.task = order.task, .run = order.run, .given_up = now});
+    run.start_unsettled_at = now;
+    RecordUnansweredStart(
+        worker, {.task = order.task, .run = order.run, .given_up_at = now});
     ++worker.failed_calls;
     this->RestIfStartsAreLost(worker, now);
     return;
@@ -363,18 +368,18 @@
   worker.failed_calls = 0;
   if (clock_ms <= 0)
     return;
-  run.is_seen = MayBeClockOf(worker, clock_ms, run.since);
-  if (run.is_seen)
+  run.is_confirmed = IsClockConsistent(worker, clock_ms, run.decided_at);
+  if (run.is_confirmed)
     return;
-  worker.is_in_doubt = true;
-  worker.next_look = std::min(worker.next_look, now);
+  worker.may_have_restarted = true;
+  worker.next_poll_at = std::min(worker.next_poll_at, now);
 }
 
 // A worker that answers looks and no starts would take task after task.
 void Scheduler::RestIfStartsAreLost(Worker& worker, base::Micros now) {
-  if (++worker.unanswered_starts < kStartsUntilRest)
+  if (++worker.consecutive_unanswered_starts < kStartsUntilRest)
     return;
-  worker.unanswered_starts = 0;
+  worker.consecutive_unanswered_starts = 0;
   worker.quarantined_until = now + kRest;
   this->actions.emplace_back(Note{
       worker.info.life.id,
@@ -409,9 +414,9 @@
     return;
   }
   run.state = RunState::kStopping;
-  run.stop_sent = now;
+  run.stop_sent_at = now;
   // An answer to an earlier stop, of a start that was open, says nothing now.
-  run.stop_answered = {};
+  run.stop_answered_at = {};
   this->actions.emplace_back(
       StopRun{.worker = worker.info.life, .task = task, .run = run.number});
 }
@@ -430,11 +435,11 @@
       outcome == OrderOutcome::kDone || outcome == OrderOutcome::kOld;
   if (!settled)
     return;
-  run->second.stop_answered = now;
+  run->second.stop_answered_at = now;
   // Its end is listed within the stop's time.
-  if (!worker.look_in_flight)
-    worker.next_look =
-        std::min(worker.next_look, now + this->limits.stop_time + kStopSlack);
+  if (!worker.poll_in_flight)
+    worker.next_poll_at = std::min(worker.next_poll_at,
+                                   now + this->limits.stop_time + kStopSlack);
 }
 
 // Stops that got no answer, and starts whose fate is open.
@@ -442,15 +447,16 @@
   for (auto& [id, worker] : this->workers) {
     for (auto& [task, run] : worker.runs) {
       const bool unanswered = run.state == RunState::kStopping &&
-                              run.stop_answered == base::Micros::zero();
+                              run.stop_answered_at == base::Micros::zero();
       // A lasting task may be at work by now, and others of its step away: a
       // listing that does not show it comes first.
-      const bool may_work = run.lasting && worker.listed_sent <= run.unsettled;
+      const bool may_work =
+          run.lasting && worker.listing_requested_at <= run.start_unsettled_at;
       const bool open = run.state == RunState::kUnsettled && !may_work &&
-                        run.stop_answered == base::Micros::zero();
-      if ((!unanswered && !open) || now < run.stop_sent + kStopAgain)
+                        run.stop_answered_at == base::Micros::zero();
+      if ((!unanswered && !open) || now < run.stop_sent_at + kStopAgain)
         continue;
-      run.stop_sent = now;
+      run.stop_sent_at = now;
       this->actions.emplace_back(
           StopRun{.worker = id, .task = task, .run = run.number});
     }
@@ -461,7 +467,7 @@
 void Scheduler::ExpireLeases(base::Micros now) {
   std::vector<jobs::WorkerLife> forgotten;
   for (auto& [id, worker] : this->workers) {
-    const bool over = now > worker.lease_end + kLeaseSlack;
+    const bool over = now > worker.latest_lease_end + kLeaseSlack;
     if (!over)
       continue;
     // A plan has no lease yet: the next listing or answer decides on it.
@@ -478,7 +484,7 @@
     }
     worker.runs_presumed_over = worker.runs_presumed_over || !worker.idle();
     this->DropRuns(worker, LossSign::kSilence, now);
-    if (!worker.announced && worker.failed_calls >= kCallsUntilSilent)
+    if (!worker.is_announced && worker.failed_calls >= kCallsUntilSilent)
       forgotten.push_back(id);
   }
   for (const jobs::WorkerLife& id : forgotten)
--- a/scheduler/looks.cc
+++ b/scheduler/looks.cc
@@ -28,7 +28,7 @@
 
 // Ends are recorded, and the worker has not heard so.
 bool HasToTell(const Worker& worker) {
-  return worker.acknowledged > worker.told;
+  return worker.last_recorded_end > worker.last_acknowledged_end;
 }
 
 bool HasStartOnItsWay(const Worker& worker) {
@@ -46,11 +46,11 @@
                entry.second.state == RunState::kStopping ||
                entry.second.missing_since > base::Micros::zero();
       });
-  if (!worker.listed || worker.idle() || worker.failed_calls > 0)
+  if (!worker.has_listing || worker.idle() || worker.failed_calls > 0)
     return {};
   if (stopping)
     return kLookWaitOpen;
-  return IsShared(worker) ? kLookWaitShared : kLookWait;
+  return MixesServingAndFillingRuns(worker) ? kLookWaitShared : kLookWait;
 }
 
 // What runs on a box that a cut or a crash has taken starts elsewhere only once
@@ -59,39 +59,39 @@
 // when little of it is left, and the look waits no longer than until then: the
 // tasks of a busy worker that falls silent wait for less than a lease.
 LookAt NextLook(const Worker& worker, base::Micros now) {
-  const base::Micros spare = worker.leased_until - now - kLeastLease;
+  const base::Micros spare = worker.earliest_lease_end - now - kLeastLease;
   const bool is_due = spare < kLeastLookWait;
   const base::Micros wait = WaitOfLook(worker);
-  const bool tells = HasToTell(worker) && MayAcknowledge(worker);
+  const bool tells = HasToTell(worker) && CanAcknowledgeEnds(worker);
   return {
       .worker = worker.info.life,
-      .acknowledged = tells ? worker.acknowledged : 0,
+      .acknowledged = tells ? worker.last_recorded_end : 0,
       .wait = is_due ? wait : std::min(wait, spare),
       // A silent worker's lease is to run out, whether or not it hears this.
-      .renews = is_due && worker.recorded && worker.failed_calls == 0};
+      .renews = is_due && worker.is_lease_recorded && worker.failed_calls == 0};
 }
 
 }  // namespace
 
 void Scheduler::Granted(const jobs::WorkerLife& life, base::Micros end) {
   if (Worker* worker = this->FindLife(life))
-    worker->lease_end = std::max(worker->lease_end, end);
+    worker->latest_lease_end = std::max(worker->latest_lease_end, end);
 }
 
 void Scheduler::LookGrants(const jobs::WorkerLife& life, base::Micros end) {
   this->Granted(life, end);
   if (Worker* worker = this->FindLife(life))
-    worker->look_grant = end;
+    worker->poll_lease_end = end;
 }
 
 void Scheduler::LookSent(const LookAt& order, base::Micros now) {
   Worker* worker = this->FindLife(order.worker);
   if (!worker)
     return;
-  worker->look_in_flight = true;
-  worker->look_grant = {};
-  worker->look_acknowledged = order.acknowledged;
-  worker->look_sent = now;
+  worker->poll_in_flight = true;
+  worker->poll_lease_end = {};
+  worker->poll_acknowledged_end = order.acknowledged;
+  worker->poll_sent_at = now;
 }
 
 void Scheduler::DueLooks(base::Micros now) {
@@ -101,24 +101,25 @@
     this->Acknowledge(worker);
     // A silent worker is asked until it answers or its life is over: nothing
     // is placed on it before.
-    const bool wanted = !worker.listed || !worker.idle() ||
+    const bool wanted = !worker.has_listing || !worker.idle() ||
                         worker.failed_calls > 0 ||
-                        worker.acknowledged < worker.processed ||
-                        HasToTell(worker) || worker.is_in_doubt;
-    if (!wanted || worker.look_in_flight || now < worker.next_look)
+                        worker.last_recorded_end < worker.last_processed_end ||
+                        HasToTell(worker) || worker.may_have_restarted;
+    if (!wanted || worker.poll_in_flight || now < worker.next_poll_at)
       continue;
     // What has ended and is not recorded, or may not be acknowledged while a
     // start is on its way, would be listed again at once.
-    const bool would_repeat = worker.acknowledged < worker.processed ||
-                              (HasToTell(worker) && HasStartOnItsWay(worker));
+    const bool would_repeat =
+        worker.last_recorded_end < worker.last_processed_end ||
+        (HasToTell(worker) && HasStartOnItsWay(worker));
     if (would_repeat) {
-      worker.next_look = now + kLookUnrecorded;
+      worker.next_poll_at = now + kLookUnrecorded;
       const bool lease_lasts =
-          worker.idle() || worker.leased_until - now > kLeastLease;
-      if (lease_lasts && now < worker.last_answer + this->limits.lease / 2)
+          worker.idle() || worker.earliest_lease_end - now > kLeastLease;
+      if (lease_lasts && now < worker.last_answer_at + this->limits.lease / 2)
         continue;
     }
-    worker.look_in_flight = true;
+    worker.poll_in_flight = true;
     this->actions.emplace_back(NextLook(worker, now));
   }
 }
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -73,7 +73,7 @@
 
 // Its capacity may have shrunk under what it runs and what is planned.
 bool HasRoomForAll(const Worker& worker) {
-  return jobs::Fits(jobs::Resources(), worker.room());
+  return jobs::Fits(jobs::Resources(), worker.free_capacity());
 }
 
 // Where the placed tasks of a step are. Counted only for steps whose placement
@@ -132,8 +132,8 @@
 // of them crashes the worker.
 double CostOfCompany(const Worker& worker, Suspicion suspicion) {
   if (suspicion == Suspicion::kNone)
-    return worker.suspects > 0 ? kBesideSuspect : 0.0;
-  return kSuspectBesideSuspect * worker.suspects +
+    return worker.suspect_runs > 0 ? kBesideSuspect : 0.0;
+  return kSuspectBesideSuspect * worker.suspect_runs +
          kLostWithSuspect * static_cast<double>(worker.runs.size());
 }
 
@@ -156,8 +156,9 @@
 }  // namespace
 
 bool Scheduler::Usable(const Worker& worker, base::Micros now) const {
-  return worker.listed && worker.recorded && worker.announced &&
-         worker.is_described && !worker.is_in_doubt && !worker.info.draining &&
+  return worker.has_listing && worker.is_lease_recorded &&
+         worker.is_announced && worker.is_described &&
+         !worker.may_have_restarted && !worker.info.draining &&
          worker.failed_calls == 0 && now >= worker.quarantined_until &&
          worker.clock_ms > 0 && !this->fleet.IsLeaving(worker.info.box);
 }
@@ -332,13 +333,14 @@
       const auto earlier = given.find(worker);
       const GangShare share =
           earlier == given.end() ? GangShare() : earlier->second;
-      const bool fits = jobs::Fits(takes + share.takes, worker->room()) &&
-                        HasLabel(worker->info, step.label) &&
-                        now >= worker->quarantined_until;
+      const bool fits =
+          jobs::Fits(takes + share.takes, worker->free_capacity()) &&
+          HasLabel(worker->info, step.label) &&
+          now >= worker->quarantined_until;
       if (!fits)
         continue;
       // Nothing starts beside a task that is to be alone.
-      const bool is_shared = worker->probes > 0 || share.has_probe ||
+      const bool is_shared = worker->probe_runs > 0 || share.has_probe ||
                              (alone && share.members > 0) ||
                              (waits_for_idle && !worker->idle());
       if (is_shared)
@@ -365,7 +367,7 @@
         cost += kSameStepOnRack * spread.Beside(*worker);
       // What lasts pins its box to the pool: few boxes, which then take other
       // work first, so that the rest can move.
-      if (worker->lasting > 0)
+      if (worker->lasting_runs > 0)
         cost -= step.lasting ? kPinnedForLasting : kPinnedForOthers;
       if (!best || cost < best_cost) {
         best = worker;
@@ -390,9 +392,9 @@
                      int number,
                      RunState state) {
   Run run{.number = number, .state = state};
-  run.takes = TakenBy(step);
-  run.counts = step.each;
-  run.counted = &this->quotas.UseOf(job.organisation);
+  run.reserved = TakenBy(step);
+  run.quota_usage = step.each;
+  run.organisation_usage = &this->quotas.UseOf(job.organisation);
   run.image = step.image;
   run.lasting = step.lasting;
   run.fills = step.fills;
@@ -418,7 +420,7 @@
   task.newest_run = run_number;
   task.at_work = false;
   Run run = this->RunOf(job, step, run_number, RunState::kPlanned);
-  run.since = now;
+  run.decided_at = now;
   run.suspicion = this->SuspicionOf(job, choice.place, now);
   this->NoteLastTry(job, choice.place, run_number);
   const jobs::TaskId id = IdOf(job, choice.place);
@@ -455,10 +457,11 @@
       continue;
     }
     run->second.state = RunState::kStarting;
-    run->second.since = now;
+    run->second.decided_at = now;
     // Its order grants a lease when it is sent, in a moment.
-    worker.lease_end = std::max(worker.lease_end, now + kOrderLeaves);
-    worker.next_look = std::min(worker.next_look, now);
+    worker.latest_lease_end =
+        std::max(worker.latest_lease_end, now + kOrderLeaves);
+    worker.next_poll_at = std::min(worker.next_poll_at, now);
     const bool resumes = StepOf(job, start.place).checkpoints;
     this->actions.emplace_back(
         StartRun{.worker = worker.info.life,
--- a/scheduler/pool_state.cc
+++ b/scheduler/pool_state.cc
@@ -51,15 +51,16 @@
     state.usable += this->Usable(worker, now);
     state.leaving += this->fleet.IsLeaving(worker.info.box);
     state.idle += worker.idle();
-    state.pinned += worker.lasting > 0;
+    state.pinned += worker.lasting_runs > 0;
     state.busy_cores += static_cast<double>(worker.used.cpu_millis) / 1000.0;
-    if (!worker.announced || !worker.listed || worker.info.draining)
+    if (!worker.is_announced || !worker.has_listing || worker.info.draining)
       continue;
     boxes.push_back(
         {.pool = &worker.info.service,
          .all = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0,
-         .unused = static_cast<double>(worker.room().cpu_millis) / 1000.0,
-         .may_move = worker.lasting == 0});
+         .unused =
+             static_cast<double>(worker.free_capacity().cpu_millis) / 1000.0,
+         .may_move = worker.lasting_runs == 0});
   }
   for (const auto& [service, tasks] : this->ready) {
     PoolState& state = states[service];
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -43,7 +43,7 @@
 void Scheduler::WorkersRecorded(const std::vector<jobs::WorkerLife>& lives) {
   for (const jobs::WorkerLife& life : lives) {
     if (Worker* worker = this->FindLife(life))
-      worker->recorded = true;
+      worker->is_lease_recorded = true;
   }
 }
 
@@ -350,7 +350,7 @@
   const Worker* worker = this->HolderOf(placement.worker);
   // A worker that has been listed under this epoch showed the run then, or
   // refuses it for good.
-  if (!worker || worker->listed || task.state == TaskState::kDone)
+  if (!worker || worker->has_listing || task.state == TaskState::kDone)
     return false;
   this->VoidPlan(job, place);
   job.progress.placed[KeyOf(place)] = placement;
@@ -400,11 +400,11 @@
 }
 
 bool Scheduler::KnowsAllRuns(base::Micros now) const {
-  return std::all_of(this->workers.begin(), this->workers.end(),
-                     [now](const auto& entry) {
-                       const Worker& worker = entry.second;
-                       return worker.listed || worker.lease_end <= now;
-                     });
+  return std::all_of(
+      this->workers.begin(), this->workers.end(), [now](const auto& entry) {
+        const Worker& worker = entry.second;
+        return worker.has_listing || worker.latest_lease_end <= now;
+      });
 }
 
 std::vector<Action> Scheduler::TakeActions() {
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -37,7 +37,7 @@
                         .ended = {}};
   bench.List("w", running);
   const auto left = [&] {
-    return bench.scheduler.FindWorker("w")->lease_end - bench.now;
+    return bench.scheduler.FindWorker("w")->latest_lease_end - bench.now;
   };
   base::Micros sum{};
   int looks = 0;
@@ -78,7 +78,7 @@
        .running = {{.task = found, .run = 7, .checkpoint = "", .percent = 1}},
        .ended = {}});
   bench.scheduler.Granted(bench.LifeOf("w"), bench.now + seconds(4));
-  BOOST_REQUIRE(bench.scheduler.FindWorker("w")->lease_end >=
+  BOOST_REQUIRE(bench.scheduler.FindWorker("w")->latest_lease_end >=
                 bench.now + seconds(4));
   const auto asked = Only<LookAt>(bench.Turn());
   BOOST_REQUIRE(!asked.empty());
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -24,23 +24,23 @@
 void Scheduler::HoldEnd(Worker& worker, const ListedEnd& end) {
   this->Unknown(end.task.job).ends.emplace_back(worker.info.life, end);
   worker.pending_ends.push_back(
-      {.number = end.number, .job = end.task.job, .is_held = true});
+      {.number = end.number, .job = end.task.job, .awaits_job = true});
 }
 
 void Scheduler::HoldRun(Worker& worker,
                         const ListedRun& listed,
                         base::Micros now) {
   Run run{.number = listed.run, .state = RunState::kRunning};
-  run.is_held = true;
-  run.since = now;
-  run.answered = now;
+  run.has_unknown_resources = true;
+  run.decided_at = now;
+  run.start_answered_at = now;
   run.adopted = true;
-  run.is_seen = true;
+  run.is_confirmed = true;
   run.percent = listed.percent;
   AddRun(worker, listed.task, std::move(run));
   // It runs, so it has a lease, whoever granted it.
-  worker.lease_end =
-      std::max(worker.lease_end, now + this->limits.longest_grant);
+  worker.latest_lease_end =
+      std::max(worker.latest_lease_end, now + this->limits.longest_grant);
   this->Unknown(listed.task.job)
       .runs.emplace_back(worker.info.life, listed.task);
 }
@@ -98,7 +98,7 @@
   for (PendingEnd& pending : worker->second.pending_ends) {
     if (pending.number != end.number)
       continue;
-    pending.is_held = false;
+    pending.awaits_job = false;
     pending.change = change;
   }
 }
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -60,7 +60,8 @@
   for (const SaveProgress& save : Only<SaveProgress>(bench.Turn()))
     BOOST_TEST(save.job != "next");
   bench.AddJob("second");
-  BOOST_TEST(bench.scheduler.FindWorker("w")->room().cpu_millis == 2000);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->free_capacity().cpu_millis ==
+             2000);
 }
 
 // Its worker tells of it before the store does: forgotten there, it would be
@@ -77,11 +78,11 @@
                                    .checkpoint = ""}}};
   bench.List("w", listing);
   bench.Turn();
-  BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 0);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 0);
   bench.AddJob("late");
   const std::vector<Action> actions = bench.Turn();
   BOOST_TEST(Only<StartRun>(actions).empty());
-  BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 0);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 0);
   const auto saves = Only<SaveProgress>(actions);
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_CHECK(jobs::DecodeProgress(saves[0].text)->state ==
@@ -92,7 +93,7 @@
                          .version = 2},
                         bench.now);
   bench.Turn();
-  BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 1);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 1);
 }
 
 BOOST_AUTO_TEST_CASE(RunOfAJobThatIsNotKnownYetIsItsRun) {
--- a/scheduler/worker.cc
+++ b/scheduler/worker.cc
@@ -14,8 +14,8 @@
 constexpr base::Micros kLatestOrder = std::chrono::seconds(12);
 
 void Uncount(const Run& run) {
-  if (run.counted)
-    *run.counted = *run.counted - run.counts;
+  if (run.organisation_usage)
+    *run.organisation_usage = *run.organisation_usage - run.quota_usage;
 }
 
 bool IsProbe(const Run& run) {
@@ -25,20 +25,20 @@
 }  // namespace
 
 void ClearSuspicion(Worker& worker, Run& run) {
-  worker.suspects -= run.suspicion != Suspicion::kNone;
-  worker.probes -= IsProbe(run);
+  worker.suspect_runs -= run.suspicion != Suspicion::kNone;
+  worker.probe_runs -= IsProbe(run);
   run.suspicion = Suspicion::kNone;
 }
 
 Run& AddRun(Worker& worker, const jobs::TaskId& task, Run run) {
   RemoveRun(worker, task);
-  worker.used = worker.used + run.takes;
-  worker.lasting += run.lasting;
-  worker.held += run.is_held;
-  worker.suspects += run.suspicion != Suspicion::kNone;
-  worker.probes += IsProbe(run);
-  if (run.counted)
-    *run.counted = *run.counted + run.counts;
+  worker.used = worker.used + run.reserved;
+  worker.lasting_runs += run.lasting;
+  worker.unknown_runs += run.has_unknown_resources;
+  worker.suspect_runs += run.suspicion != Suspicion::kNone;
+  worker.probe_runs += IsProbe(run);
+  if (run.organisation_usage)
+    *run.organisation_usage = *run.organisation_usage + run.quota_usage;
   return worker.runs[task] = std::move(run);
 }
 
@@ -46,55 +46,56 @@
   const auto found = worker.runs.find(task);
   if (found == worker.runs.end())
     return;
-  worker.used = worker.used - found->second.takes;
-  worker.lasting -= found->second.lasting;
-  worker.held -= found->second.is_held;
+  worker.used = worker.used - found->second.reserved;
+  worker.lasting_runs -= found->second.lasting;
+  worker.unknown_runs -= found->second.has_unknown_resources;
   ClearSuspicion(worker, found->second);
   Uncount(found->second);
   worker.runs.erase(found);
 }
 
-void NoteUnanswered(Worker& worker, const UnansweredStart& start) {
-  while (!worker.unanswered.empty() &&
-         worker.unanswered.front().given_up + kLatestOrder < start.given_up)
-    worker.unanswered.pop_front();
-  worker.unanswered.push_back(start);
+void RecordUnansweredStart(Worker& worker, const UnansweredStart& start) {
+  while (!worker.recent_unanswered_starts.empty() &&
+         worker.recent_unanswered_starts.front().given_up_at + kLatestOrder <
+             start.given_up_at)
+    worker.recent_unanswered_starts.pop_front();
+  worker.recent_unanswered_starts.push_back(start);
 }
 
-std::map<jobs::TaskId, Run> TakeRuns(Worker& worker) {
+std::map<jobs::TaskId, Run> ExtractRuns(Worker& worker) {
   for (const auto& [task, run] : worker.runs)
     Uncount(run);
   worker.used = {};
-  worker.lasting = 0;
-  worker.held = 0;
-  worker.suspects = 0;
-  worker.probes = 0;
+  worker.lasting_runs = 0;
+  worker.unknown_runs = 0;
+  worker.suspect_runs = 0;
+  worker.probe_runs = 0;
   return std::exchange(worker.runs, {});
 }
 
-bool MayAcknowledge(const Worker& worker) {
+bool CanAcknowledgeEnds(const Worker& worker) {
   const bool all_seen = std::all_of(
       worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
         const Run& run = entry.second;
-        return run.is_seen || run.state == RunState::kPlanned ||
+        return run.is_confirmed || run.state == RunState::kPlanned ||
                run.state == RunState::kInherited;
       });
-  return worker.listed && worker.failed_calls == 0 && !worker.is_in_doubt &&
-         all_seen;
+  return worker.has_listing && worker.failed_calls == 0 &&
+         !worker.may_have_restarted && all_seen;
 }
 
-bool MayBeClockOf(const Worker& worker,
-                  std::int64_t clock_ms,
-                  base::Micros ordered) {
+bool IsClockConsistent(const Worker& worker,
+                       std::int64_t clock_ms,
+                       base::Micros ordered) {
   const base::Micros since =
-      std::max(ordered - worker.clock_read, base::Micros::zero());
+      std::max(ordered - worker.clock_read_at, base::Micros::zero());
   const double least = static_cast<double>(worker.clock_ms) +
-                       base::Seconds(since) * 1000.0 * kSlowestClock -
+                       base::Seconds(since) * 1000.0 * kMinClockRate -
                        static_cast<double>(base::Millis(kOvertaken));
   return worker.clock_ms > 0 && static_cast<double>(clock_ms) >= least;
 }
 
-bool IsShared(const Worker& worker) {
+bool MixesServingAndFillingRuns(const Worker& worker) {
   bool serves = false;
   bool fills = false;
   for (const auto& [task, run] : worker.runs) {
@@ -105,10 +106,11 @@
 }
 
 std::int64_t DeadlineFor(const Worker& worker, base::Micros end) {
-  if (worker.clock_read == base::Micros::zero() || end <= worker.clock_read)
+  if (worker.clock_read_at == base::Micros::zero() ||
+      end <= worker.clock_read_at)
     return 0;
-  const double span_ms = base::Seconds(end - worker.clock_read) * 1000.0;
-  return worker.clock_ms + static_cast<std::int64_t>(span_ms * kSlowestClock);
+  const double span_ms = base::Seconds(end - worker.clock_read_at) * 1000.0;
+  return worker.clock_ms + static_cast<std::int64_t>(span_ms * kMinClockRate);
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/worker.h
+++ b/scheduler/worker.h
@@ -35,31 +35,33 @@
 struct Run {
   int number = 0;
   RunState state = RunState::kStarting;
-  jobs::Resources takes;  // what it takes of the room
+  jobs::Resources reserved;  // what it takes of the room
   // What it counts for towards its organisation's quota, and where that is
   // counted; null: nowhere.
-  jobs::Resources counts;
-  jobs::Resources* counted = nullptr;
+  jobs::Resources quota_usage;
+  jobs::Resources* organisation_usage = nullptr;
   std::string image;
-  base::Micros since{};          // when the order was decided
-  base::Micros answered{};       // when the start was answered
-  base::Micros unsettled{};      // when the start was given up unanswered
-  base::Micros stop_answered{};  // when a stop was answered; 0: none yet
-  base::Micros stop_sent{};      // when a stop was last sent
+  base::Micros decided_at{};          // when the order was decided
+  base::Micros start_answered_at{};   // when the start was answered
+  base::Micros start_unsettled_at{};  // when the start was given up unanswered
+  base::Micros stop_answered_at{};    // when a stop was answered; 0: none yet
+  base::Micros stop_sent_at{};        // when a stop was last sent
   // When the first look was sent since which no listing shows it, nor its end.
   base::Micros missing_since{};
   bool lasting = false;
   bool fills = false;
   bool adopted = false;  // started by an earlier owner
-  bool is_held = false;  // its job is not known, nor what it takes
+  bool has_unknown_resources =
+      false;  // its job is not known, nor what it takes
   // Its worker's life has been heard to have it; else a later one may.
-  bool is_seen = false;
+  bool is_confirmed = false;
   // Of the life before this one: what is to be noted if this one never had it.
   std::optional<PossibleLoss> possible_loss;
   // Of crashing its worker; none once it has run on for some time.
   Suspicion suspicion = Suspicion::kNone;
   int percent = 0;
-  base::Micros progressed{};  // when its percent was last seen to change
+  base::Micros
+      progress_changed_at{};  // when its percent was last seen to change
   int pace = 100;             // the share of its speed that it is let work at
   std::int64_t load = -1;
   std::int64_t target_ms = 0;
@@ -70,73 +72,77 @@
   std::int64_t number = 0;
   std::string job;
   std::uint64_t change = 0;
-  bool is_held = false;  // its job is not known: no row holds it
+  bool awaits_job = false;  // its job is not known: no row holds it
 };
 
 // A start without an answer, which may be carried out late.
 struct UnansweredStart {
   jobs::TaskId task;
   int run = 0;
-  base::Micros given_up{};
+  base::Micros given_up_at{};
 };
 
 struct Worker {
   WorkerInfo info;
-  bool listed = false;  // has answered a look under this owner's epoch
+  bool has_listing = false;  // has answered a look under this owner's epoch
   // The stored list says that this owner grants it leases.
-  bool recorded = false;
-  bool announced = true;  // its announcement stands in the store
+  bool is_lease_recorded = false;
+  bool is_announced = true;  // its announcement stands in the store
   // Room and labels are its own; else those of the life before, and its own
   // announcement has not been read.
   bool is_described = true;
   // It may hold a lease that was granted on the clock of the life before.
-  bool has_foreign_lease = false;
+  bool may_hold_earlier_lease = false;
   // A start was answered by an earlier clock: a later life may be there.
-  bool is_in_doubt = false;
-  base::Micros unlisted{};  // when its announcement went
-  bool look_in_flight = false;
-  base::Micros look_sent{};
-  base::Micros next_look{};
-  base::Micros last_answer{};
-  base::Micros listed_sent{};  // when the last look that was answered was sent
+  bool may_have_restarted = false;
+  base::Micros withdrawn_at{};  // when its announcement went
+  bool poll_in_flight = false;
+  base::Micros poll_sent_at{};
+  base::Micros next_poll_at{};
+  base::Micros last_answer_at{};
+  base::Micros
+      listing_requested_at{};  // when the last look that was answered was sent
   // An upper bound, on our clock, of when everything on it is over.
-  base::Micros lease_end{};
+  base::Micros latest_lease_end{};
   // A lower bound: until when looks that it has answered granted it a lease.
-  base::Micros leased_until{};
-  base::Micros look_grant{};  // what the look in flight grants; 0: nothing
-  std::int64_t look_acknowledged = 0;  // what the look in flight acknowledges
+  base::Micros earliest_lease_end{};
+  base::Micros poll_lease_end{};  // what the look in flight grants; 0: nothing
+  std::int64_t poll_acknowledged_end =
+      0;  // what the look in flight acknowledges
   // Runs were taken as over with their lease, and it has not answered since.
   bool runs_presumed_over = false;
   // Its clock, as read at `clock_read` on ours (when the answer came).
   std::int64_t clock_ms = 0;
-  base::Micros clock_read{};
-  std::int64_t processed = 0;           // ends up to this number were taken in
-  std::int64_t acknowledged = 0;        // ends up to this number are recorded
-  std::int64_t told = 0;                // ends that it knows to be recorded
-  std::deque<PendingEnd> pending_ends;  // taken in, not yet recorded
-  std::deque<UnansweredStart> unanswered;  // of late, the oldest first
+  base::Micros clock_read_at{};
+  std::int64_t last_processed_end = 0;  // ends up to this number were taken in
+  std::int64_t last_recorded_end = 0;   // ends up to this number are recorded
+  std::int64_t last_acknowledged_end = 0;  // ends that it knows to be recorded
+  std::deque<PendingEnd> pending_ends;     // taken in, not yet recorded
+  std::deque<UnansweredStart>
+      recent_unanswered_starts;  // of late, the oldest first
   std::map<jobs::TaskId, Run> runs;
   jobs::Resources used;
-  int lasting = 0;   // lasting tasks among the runs: they pin the box
-  int held = 0;      // runs of jobs that are not known
-  int suspects = 0;  // runs that are watched for crashing it
-  int probes = 0;    // of them, those beside which nothing is placed
+  int lasting_runs = 0;  // lasting tasks among the runs: they pin the box
+  int unknown_runs = 0;  // runs of jobs that are not known
+  int suspect_runs = 0;  // runs that are watched for crashing it
+  int probe_runs = 0;    // of them, those beside which nothing is placed
   // Health, from the ends of tasks and failed calls.
   double failure_rate = 0.0;  // moving average of failed ends
   int failed_calls = 0;       // since the last answer
-  int unanswered_starts = 0;  // since the last start that was answered
+  int consecutive_unanswered_starts =
+      0;  // since the last start that was answered
   base::Micros quarantined_until{};
   base::Micros slow_until{};  // its runs take much longer than elsewhere
 
   // None while it is not known what some of the runs take.
-  jobs::Resources room() const {
-    return this->held > 0 ? jobs::Resources()
-                          : this->info.capacity - this->used;
+  jobs::Resources free_capacity() const {
+    return this->unknown_runs > 0 ? jobs::Resources()
+                                  : this->info.capacity - this->used;
   }
   bool idle() const { return this->runs.empty(); }
   // It answered on after its announcement had gone: it was to leave.
   bool has_withdrawn() const {
-    return !this->announced && this->last_answer > this->unlisted;
+    return !this->is_announced && this->last_answer_at > this->withdrawn_at;
   }
 };
 
@@ -145,30 +151,30 @@
 // The run is not suspected any more.
 void ClearSuspicion(Worker& worker, Run& run);
 // Notes a start without an answer, and forgets those that can come no more.
-void NoteUnanswered(Worker& worker, const UnansweredStart& start);
+void RecordUnansweredStart(Worker& worker, const UnansweredStart& start);
 // Takes all of its runs off the worker.
-std::map<jobs::TaskId, Run> TakeRuns(Worker& worker);
+std::map<jobs::TaskId, Run> ExtractRuns(Worker& worker);
 
 // May the worker be told to forget ends? A later life that hears the number,
 // and has ended runs of its own, would forget those unread.
-bool MayAcknowledge(const Worker& worker);
+bool CanAcknowledgeEnds(const Worker& worker);
 
 // Whether this reading of a clock, for a start that was ordered at `ordered`,
 // can be of the life that was listed: clocks never go back, and the next life's
 // starts anew.
-bool MayBeClockOf(const Worker& worker,
-                  std::int64_t clock_ms,
-                  base::Micros ordered);
+bool IsClockConsistent(const Worker& worker,
+                       std::int64_t clock_ms,
+                       base::Micros ordered);
 
 // Do tasks that serve run beside tasks that fill?
-bool IsShared(const Worker& worker);
+bool MixesServingAndFillingRuns(const Worker& worker);
 
 // The deadline to grant, on the worker's clock, so that it is over at `end` on
 // ours even if its clock runs slow. 0 if its clock has not been read yet.
 std::int64_t DeadlineFor(const Worker& worker, base::Micros end);
 
 // Workers' steady clocks may run 2% slow (the platform's pages).
-inline constexpr double kSlowestClock = 0.98;
+inline constexpr double kMinClockRate = 0.98;
 
 }  // namespace quartzhoist::scheduler
 
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -64,12 +64,12 @@
   if (!known) {
     known = &this->workers[info.life];
     ++this->worker_change_count;
-    known->next_look = now;
+    known->next_poll_at = now;
     this->fleet.BoxSeen(info.box, info.life, info.service, now);
   }
   const bool had_drained = known->info.draining;
   known->info = info;
-  known->announced = true;
+  known->is_announced = true;
   known->is_described = true;
   if (info.draining && !had_drained)
     this->actions.emplace_back(Note{info.life.id, "drains: nothing is placed"});
@@ -80,9 +80,9 @@
   if (!worker) {
     worker = &this->workers[info.life];
     worker->info = info;
-    worker->announced = false;
+    worker->is_announced = false;
   }
-  worker->lease_end = std::max(worker->lease_end, lease_end);
+  worker->latest_lease_end = std::max(worker->latest_lease_end, lease_end);
   ++this->worker_change_count;
 }
 
@@ -94,8 +94,8 @@
   if (!worker || answered == asked || answered.born_ms == 0)
     return worker;
   if (asked.IsAfter(answered)) {
-    worker->look_in_flight = false;
-    worker->next_look = now;
+    worker->poll_in_flight = false;
+    worker->next_poll_at = now;
     return nullptr;
   }
   WorkerInfo info = worker->info;
@@ -110,21 +110,21 @@
                              const WorkerInfo& info,
                              base::Micros now) {
   const jobs::WorkerLife over = earlier.info.life;
-  std::map<jobs::TaskId, Run> runs = TakeRuns(earlier);
+  std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses = this->LossesUnder(earlier, runs, LossSign::kRestarted);
   // 1. The next life, under the same lease as far as that is known.
   Worker& next = this->workers[info.life];
   next.info = info;
-  next.announced = earlier.announced;
-  next.look_sent = earlier.look_sent;
-  next.next_look = now;
+  next.is_announced = earlier.is_announced;
+  next.poll_sent_at = earlier.poll_sent_at;
+  next.next_poll_at = now;
   // 2. What it may have begun.
   WorkerRestarted restarted{.worker = info.life,
                             .earlier_born_ms = over.born_ms,
-                            .ends_read = earlier.processed};
+                            .ends_read = earlier.last_processed_end};
   for (auto it = runs.begin(); it != runs.end();) {
     const bool may_be_there =
-        !it->second.is_seen && it->second.state != RunState::kPlanned;
+        !it->second.is_confirmed && it->second.state != RunState::kPlanned;
     if (!may_be_there) {
       ++it;
       continue;
@@ -139,17 +139,17 @@
   }
   // An order that was meant for the earlier life may have reached this one: its
   // deadline lies far ahead on a clock that has just begun.
-  next.has_foreign_lease = true;
-  next.lease_end =
-      std::max(earlier.lease_end, now + this->limits.longest_lease);
+  next.may_hold_earlier_lease = true;
+  next.latest_lease_end =
+      std::max(earlier.latest_lease_end, now + this->limits.longest_lease);
   this->actions.emplace_back(restarted);
   // The earlier life refused what had been stopped there; this one does not.
-  for (const UnansweredStart& start : earlier.unanswered) {
+  for (const UnansweredStart& start : earlier.recent_unanswered_starts) {
     if (!next.runs.contains(start.task))
       this->actions.emplace_back(
           StopRun{.worker = info.life, .task = start.task, .run = start.run});
   }
-  next.unanswered = std::move(earlier.unanswered);
+  next.recent_unanswered_starts = std::move(earlier.recent_unanswered_starts);
   // 3. All else is over.
   if (!runs.empty())
     this->LoseRuns(earlier, runs, losses, LossSign::kRestarted, now);
@@ -164,8 +164,8 @@
                         const std::optional<PossibleLoss>& loss) {
   run.possible_loss = loss;
   run.missing_since = {};
-  run.stop_sent = {};
-  run.stop_answered = {};
+  run.stop_sent_at = {};
+  run.stop_answered_at = {};
   Job* job = this->FindJob(id.job);
   if (job && Exists(*job, PlaceOf(id))) {
     Task& task = TaskAt(*job, PlaceOf(id));
@@ -188,9 +188,9 @@
   Worker* worker = this->CurrentLife(id);
   if (!worker)
     return;
-  worker->announced = false;
-  worker->unlisted = now;
-  if (worker->idle() && !worker->look_in_flight)
+  worker->is_announced = false;
+  worker->withdrawn_at = now;
+  if (worker->idle() && !worker->poll_in_flight)
     this->WorkerDied(worker->info.life, LossSign::kLeft, now);
 }
 
@@ -219,7 +219,7 @@
 void Scheduler::DropRuns(Worker& worker, LossSign sign, base::Micros now) {
   if (worker.idle())
     return;
-  const std::map<jobs::TaskId, Run> runs = TakeRuns(worker);
+  const std::map<jobs::TaskId, Run> runs = ExtractRuns(worker);
   this->LoseRuns(worker, runs, this->LossesUnder(worker, runs, sign), sign,
                  now);
 }
@@ -229,17 +229,18 @@
                          const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
                          LossSign sign,
                          base::Micros now) {
-  const bool was_heard = worker.last_answer > base::Micros::zero();
+  const bool was_heard = worker.last_answer_at > base::Micros::zero();
   WorkerLost lost{
       .worker = worker.info.life,
       .box = worker.info.box,
       .sign = sign,
-      .heard_ago = was_heard ? now - worker.last_answer : base::Micros(-1)};
+      .heard_ago = was_heard ? now - worker.last_answer_at : base::Micros(-1)};
   for (const auto& [task, run] : runs) {
-    lost.runs.push_back({.task = task,
-                         .run = run.number,
-                         .age = now - run.since,
-                         .is_answered = run.answered > base::Micros::zero()});
+    lost.runs.push_back(
+        {.task = task,
+         .run = run.number,
+         .age = now - run.decided_at,
+         .is_answered = run.start_answered_at > base::Micros::zero()});
   }
   std::stable_sort(
       lost.runs.begin(), lost.runs.end(),
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -82,8 +82,8 @@
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
           "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
-          jobs::TextOf(id), worker.listed, worker.failed_calls,
-          worker.look_in_flight, base::Seconds(worker.lease_end));
+          jobs::TextOf(id), worker.has_listing, worker.failed_calls,
+          worker.poll_in_flight, base::Seconds(worker.latest_lease_end));
       for (const auto& [task, run] : worker.runs) {
         text +=
             fmt::format("    {} {}.{} run {} state {}\n", task.job, task.step,
@@ -150,7 +150,7 @@
 void SchedulerModel::RecordListed(Owner& owner) {
   std::vector<jobs::WorkerLife> held;
   for (const auto& [life, worker] : owner.scheduler->all_workers()) {
-    if (!worker.listed || worker.recorded)
+    if (!worker.has_listing || worker.is_lease_recorded)
       continue;
     held.push_back(life);
     this->leases[life.id] = {.life = life, .until = std::nullopt};
