--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -17,27 +17,27 @@
 constexpr double kFailureWeight = 0.25;
 // Above this share of failures a worker gets nothing for a while. The few tasks
 // that fail anywhere stay below it.
-constexpr double kFailureLimit = 0.4;
-constexpr base::Micros kQuarantine = std::chrono::seconds(4);
+constexpr double kMaxFailureRate = 0.4;
+constexpr base::Micros kQuarantineTime = std::chrono::seconds(4);
 // After it, one failure more puts the worker back.
-constexpr double kFailureAfterQuarantine = 0.3;
+constexpr double kFailureRateAfterQuarantine = 0.3;
 // A run whose percent has not changed for so long stands still: tasks take 0.8
 // to 5 s, and even at an eighth of its speed a task of 5 s makes 3% in this
 // time.
-constexpr base::Micros kStallTime = milliseconds(1800);
+constexpr base::Micros kStallTimeout = milliseconds(1800);
 // A run crawls if what is left takes so many times what a run takes elsewhere.
-constexpr int kSlowTimes = 2;
+constexpr int kSlowFactor = 2;
 constexpr base::Micros kSlowSlack = milliseconds(500);
 // How long a worker that crawls is passed over for others.
-constexpr base::Micros kSlowFor = std::chrono::seconds(4);
+constexpr base::Micros kSlowWorkerPenalty = std::chrono::seconds(4);
 // A task is taken off a worker so often at most: it may be the task.
-constexpr int kMostMoves = 2;
+constexpr int kMaxMoves = 2;
 // How many workers on which a task failed are remembered.
-constexpr std::size_t kFailedOn = 4;
+constexpr std::size_t kMaxFailedWorkers = 4;
 
-void RememberFailure(Task& task, const jobs::WorkerLife& worker) {
+void RecordFailedWorker(Task& task, const jobs::WorkerLife& worker) {
   task.failed_on.push_back(worker);
-  if (task.failed_on.size() > kFailedOn)
+  if (task.failed_on.size() > kMaxFailedWorkers)
     task.failed_on.erase(task.failed_on.begin());
 }
 
@@ -48,9 +48,9 @@
                         base::Micros now) {
   // 1. The run's room is free.
   const auto run = worker.runs.find(end.task);
-  const bool is_ours =
+  const bool is_current_run =
       run != worker.runs.end() && run->second.number == end.run;
-  if (is_ours) {
+  if (is_current_run) {
     const Run ended = run->second;
     RemoveRun(worker, end.task);
     Job* job = this->FindJob(end.task.job);
@@ -95,7 +95,7 @@
   else if (failed && !lasting)
     this->TaskFailed(job, place, end.run, worker, now);
   else if (failed)
-    RememberFailure(task, worker);
+    RecordFailedWorker(task, worker);
   const auto by = this->workers.find(worker);
   if ((done || failed) && by != this->workers.end())
     this->JudgeWorker(by->second, failed, now);
@@ -110,12 +110,12 @@
   const int first = step.gang ? 0 : place.index;
   const int last =
       step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
-  bool is_news = false;
+  bool has_changed = false;
   for (int i = first; i <= last; ++i) {
     Task& task = runs.tasks[static_cast<std::size_t>(i)];
     if (task.state == TaskState::kDone)
       continue;
-    is_news = true;
+    has_changed = true;
     // An earlier run, beyond a cut, was done while another had begun.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
@@ -130,7 +130,7 @@
     ++runs.done;
     job.progress.MarkDone(key, i);
   }
-  if (!is_news || job.finished())
+  if (!has_changed || job.finished())
     return;
   this->Changed(job);
   if (AllDone(job))
@@ -146,7 +146,7 @@
                            base::Micros now) {
   const jobs::Step& step = StepOf(job, place);
   Task& task = TaskAt(job, place);
-  RememberFailure(task, worker);
+  RecordFailedWorker(task, worker);
   // A gang fails as one: its first task stands for it.
   const jobs::TaskKey key{
       .step = {.occurrence = place.occurrence, .step = place.step},
@@ -217,15 +217,15 @@
 void Scheduler::JudgeWorker(Worker& worker, bool failed, base::Micros now) {
   worker.failure_rate +=
       kFailureWeight * ((failed ? 1.0 : 0.0) - worker.failure_rate);
-  if (!failed || worker.failure_rate < kFailureLimit)
+  if (!failed || worker.failure_rate < kMaxFailureRate)
     return;
-  worker.quarantined_until = now + kQuarantine;
-  this->actions.emplace_back(
-      Note{worker.info.life.id,
-           fmt::format("fails {:.0f}% of its runs: nothing is "
-                       "placed for {:.0f} s",
-                       worker.failure_rate * 100, base::Seconds(kQuarantine))});
-  worker.failure_rate = kFailureAfterQuarantine;
+  worker.quarantined_until = now + kQuarantineTime;
+  this->actions.emplace_back(Note{
+      worker.info.life.id,
+      fmt::format("fails {:.0f}% of its runs: nothing is "
+                  "placed for {:.0f} s",
+                  worker.failure_rate * 100, base::Seconds(kQuarantineTime))});
+  worker.failure_rate = kFailureRateAfterQuarantine;
 }
 
 // Runs that stand still, or crawl, start anew elsewhere: what they have saved
@@ -239,7 +239,7 @@
     if (run.state != RunState::kRunning || unseen || run.pace < 100 || !job ||
         !Exists(*job, PlaceOf(id)) || StepOf(*job, PlaceOf(id)).gang)
       continue;
-    if (run.percent < 100 && now - run.progress_changed_at > kStallTime)
+    if (run.percent < 100 && now - run.progress_changed_at > kStallTimeout)
       stalled.push_back(id);
     else if (this->IsCrawling(*job, id, run, now))
       slow.push_back(id);
@@ -249,7 +249,7 @@
     this->MoveOff(worker, id, "stands still", now);
   }
   for (const jobs::TaskId& id : slow) {
-    worker.slow_until = now + kSlowFor;
+    worker.slow_until = now + kSlowWorkerPenalty;
     this->MoveOff(worker, id, "crawls", now);
   }
 }
@@ -265,10 +265,10 @@
   const base::Micros expected = this->run_times.Expect(
       step.image.empty() ? job.queue.name : step.image, base::Micros::zero());
   const base::Micros elapsed = now - run.decided_at;
-  if (expected <= base::Micros::zero() || elapsed < kSlowTimes * expected)
+  if (expected <= base::Micros::zero() || elapsed < kSlowFactor * expected)
     return false;
   const base::Micros left = elapsed * (100 - run.percent) / run.percent;
-  return left > kSlowTimes * expected + kSlowSlack;
+  return left > kSlowFactor * expected + kSlowSlack;
 }
 
 void Scheduler::MoveOff(Worker& worker,
@@ -277,10 +277,10 @@
                         base::Micros now) {
   Job* job = this->FindJob(id.job);
   Task& task = TaskAt(*job, PlaceOf(id));
-  if (task.moved >= kMostMoves)
+  if (task.moved >= kMaxMoves)
     return;
   ++task.moved;
-  RememberFailure(task, worker.info.life);
+  RecordFailedWorker(task, worker.info.life);
   this->actions.emplace_back(Note{
       id.job,
       fmt::format("task {}.{}.{} {} on {}: it starts elsewhere", id.occurrence,
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -17,24 +17,24 @@
 
 // After ends were listed the next look waits a little, so that it brings more
 // than one: each look costs like a probe.
-constexpr base::Micros kPauseAfterEnds = milliseconds(200);
+constexpr base::Micros kPollDelayAfterEnds = milliseconds(200);
 // A worker that did not answer is asked again after this, times the failures
 // in a row, up to the second.
-constexpr base::Micros kLookAgain = milliseconds(250);
-constexpr base::Micros kLookAgainMost = milliseconds(1000);
+constexpr base::Micros kPollRetryDelay = milliseconds(250);
+constexpr base::Micros kMaxPollRetryDelay = milliseconds(1000);
 // So many starts in a row without an answer, and the worker gets nothing for a
 // while. Where a third of all answers is lost it does so now and then.
-constexpr int kStartsUntilRest = 3;
-constexpr base::Micros kRest = std::chrono::seconds(4);
+constexpr int kMaxUnansweredStarts = 3;
+constexpr base::Micros kUnansweredStartsQuarantine = std::chrono::seconds(4);
 // An order without an answer: a look, then a stop, are sent this soon again.
-constexpr base::Micros kStopAgain = milliseconds(600);
+constexpr base::Micros kStopRetryDelay = milliseconds(600);
 // A look that is to settle a stop leaves this long after the stop's time.
-constexpr base::Micros kStopSlack = milliseconds(20);
+constexpr base::Micros kStopPollSlack = milliseconds(20);
 // Slack for clocks and timers when a lease is taken as over.
-constexpr base::Micros kLeaseSlack = milliseconds(200);
+constexpr base::Micros kLeaseExpirySlack = milliseconds(200);
 // A worker whose announcement is gone and that does not answer either is
 // forgotten once its lease is over.
-constexpr int kCallsUntilSilent = 2;
+constexpr int kFailedCallsUntilDropped = 2;
 
 }  // namespace
 
@@ -72,7 +72,7 @@
   worker.clock_read_at = now;
   this->SettleLosses(worker, now);
   // 2. Ends before runs: a task that ended may be listed as running again.
-  bool has_news = false;
+  bool has_new_ends = false;
   for (const ListedEnd& end : listing.ended) {
     if (end.number <= worker.last_processed_end) {
       this->NoteSkippedEnd(worker, end);
@@ -80,7 +80,7 @@
     }
     this->TakeEnd(worker, end, now);
     worker.last_processed_end = end.number;
-    has_news = true;
+    has_new_ends = true;
   }
   // 3. What runs there.
   for (const ListedRun& run : listing.running)
@@ -91,8 +91,10 @@
   this->PaceFillers(worker);
   this->Acknowledge(worker);
   // Ends that it may not be told of yet are listed again at once.
-  const bool repeats = worker.last_recorded_end > worker.last_acknowledged_end;
-  worker.next_poll_at = has_news || repeats ? now + kPauseAfterEnds : now;
+  const bool has_unacknowledged_ends =
+      worker.last_recorded_end > worker.last_acknowledged_end;
+  worker.next_poll_at =
+      has_new_ends || has_unacknowledged_ends ? now + kPollDelayAfterEnds : now;
 }
 
 void Scheduler::NoteSkippedEnd(const Worker& worker, const ListedEnd& end) {
@@ -293,7 +295,7 @@
                                   base::NameOf(kOrderOutcomeNames, outcome))});
   }
   worker.next_poll_at =
-      now + std::min(kLookAgain * worker.failed_calls, kLookAgainMost);
+      now + std::min(kPollRetryDelay * worker.failed_calls, kMaxPollRetryDelay);
 }
 
 void Scheduler::Started(const StartRun& order,
@@ -353,7 +355,7 @@
     StepAt(*job, PlaceOf(order.task)).advice.tickets.erase(order.worker);
   if (outcome == OrderOutcome::kNoRoom || outcome == OrderOutcome::kLate)
     worker.quarantined_until =
-        std::max(worker.quarantined_until, now + kLookAgain);
+        std::max(worker.quarantined_until, now + kPollRetryDelay);
   this->TaskLost(order.task, order.run, now);
 }
 
@@ -377,15 +379,16 @@
 
 // A worker that answers looks and no starts would take task after task.
 void Scheduler::RestIfStartsAreLost(Worker& worker, base::Micros now) {
-  if (++worker.consecutive_unanswered_starts < kStartsUntilRest)
+  if (++worker.consecutive_unanswered_starts < kMaxUnansweredStarts)
     return;
   worker.consecutive_unanswered_starts = 0;
-  worker.quarantined_until = now + kRest;
+  worker.quarantined_until = now + kUnansweredStartsQuarantine;
   this->actions.emplace_back(Note{
       worker.info.life.id,
       fmt::format("leaves {} starts in a row unanswered: nothing is placed "
                   "for {:.0f} s",
-                  kStartsUntilRest, base::Seconds(kRest))});
+                  kMaxUnansweredStarts,
+                  base::Seconds(kUnansweredStartsQuarantine))});
 }
 
 bool Scheduler::StillWanted(const StartRun& order) const {
@@ -438,8 +441,8 @@
   run->second.stop_answered_at = now;
   // Its end is listed within the stop's time.
   if (!worker.poll_in_flight)
-    worker.next_poll_at = std::min(worker.next_poll_at,
-                                   now + this->limits.stop_time + kStopSlack);
+    worker.next_poll_at = std::min(
+        worker.next_poll_at, now + this->limits.stop_time + kStopPollSlack);
 }
 
 // Stops that got no answer, and starts whose fate is open.
@@ -454,7 +457,7 @@
           run.lasting && worker.listing_requested_at <= run.start_unsettled_at;
       const bool open = run.state == RunState::kUnsettled && !may_work &&
                         run.stop_answered_at == base::Micros::zero();
-      if ((!unanswered && !open) || now < run.stop_sent_at + kStopAgain)
+      if ((!unanswered && !open) || now < run.stop_sent_at + kStopRetryDelay)
         continue;
       run.stop_sent_at = now;
       this->actions.emplace_back(
@@ -467,7 +470,7 @@
 void Scheduler::ExpireLeases(base::Micros now) {
   std::vector<jobs::WorkerLife> forgotten;
   for (auto& [id, worker] : this->workers) {
-    const bool over = now > worker.latest_lease_end + kLeaseSlack;
+    const bool over = now > worker.latest_lease_end + kLeaseExpirySlack;
     if (!over)
       continue;
     // A plan has no lease yet: the next listing or answer decides on it.
@@ -484,7 +487,7 @@
     }
     worker.runs_presumed_over = worker.runs_presumed_over || !worker.idle();
     this->DropRuns(worker, LossSign::kSilence, now);
-    if (!worker.is_announced && worker.failed_calls >= kCallsUntilSilent)
+    if (!worker.is_announced && worker.failed_calls >= kFailedCallsUntilDropped)
       forgotten.push_back(id);
   }
   for (const jobs::WorkerLife& id : forgotten)
--- a/scheduler/worker.cc
+++ b/scheduler/worker.cc
@@ -8,17 +8,17 @@
 namespace {
 
 // By so much an answer may overtake one that was given before.
-constexpr base::Micros kOvertaken = std::chrono::milliseconds(100);
+constexpr base::Micros kReorderTolerance = std::chrono::milliseconds(100);
 // A call without an answer may be carried out so much later (the platform's
 // pages: seconds; 2 to 12 s on the sites).
-constexpr base::Micros kLatestOrder = std::chrono::seconds(12);
+constexpr base::Micros kMaxOrderDelay = std::chrono::seconds(12);
 
-void Uncount(const Run& run) {
+void ReleaseQuota(const Run& run) {
   if (run.organisation_usage)
     *run.organisation_usage = *run.organisation_usage - run.quota_usage;
 }
 
-bool IsProbe(const Run& run) {
+bool IsProbeRun(const Run& run) {
   return run.suspicion >= Suspicion::kProbe;
 }
 
@@ -26,7 +26,7 @@
 
 void ClearSuspicion(Worker& worker, Run& run) {
   worker.suspect_runs -= run.suspicion != Suspicion::kNone;
-  worker.probe_runs -= IsProbe(run);
+  worker.probe_runs -= IsProbeRun(run);
   run.suspicion = Suspicion::kNone;
 }
 
@@ -36,7 +36,7 @@
   worker.lasting_runs += run.lasting;
   worker.unknown_runs += run.has_unknown_resources;
   worker.suspect_runs += run.suspicion != Suspicion::kNone;
-  worker.probe_runs += IsProbe(run);
+  worker.probe_runs += IsProbeRun(run);
   if (run.organisation_usage)
     *run.organisation_usage = *run.organisation_usage + run.quota_usage;
   return worker.runs[task] = std::move(run);
@@ -50,13 +50,13 @@
   worker.lasting_runs -= found->second.lasting;
   worker.unknown_runs -= found->second.has_unknown_resources;
   ClearSuspicion(worker, found->second);
-  Uncount(found->second);
+  ReleaseQuota(found->second);
   worker.runs.erase(found);
 }
 
 void RecordUnansweredStart(Worker& worker, const UnansweredStart& start) {
   while (!worker.recent_unanswered_starts.empty() &&
-         worker.recent_unanswered_starts.front().given_up_at + kLatestOrder <
+         worker.recent_unanswered_starts.front().given_up_at + kMaxOrderDelay <
              start.given_up_at)
     worker.recent_unanswered_starts.pop_front();
   worker.recent_unanswered_starts.push_back(start);
@@ -64,7 +64,7 @@
 
 std::map<jobs::TaskId, Run> ExtractRuns(Worker& worker) {
   for (const auto& [task, run] : worker.runs)
-    Uncount(run);
+    ReleaseQuota(run);
   worker.used = {};
   worker.lasting_runs = 0;
   worker.unknown_runs = 0;
@@ -74,14 +74,14 @@
 }
 
 bool CanAcknowledgeEnds(const Worker& worker) {
-  const bool all_seen = std::all_of(
+  const bool all_confirmed = std::all_of(
       worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
         const Run& run = entry.second;
         return run.is_confirmed || run.state == RunState::kPlanned ||
                run.state == RunState::kInherited;
       });
   return worker.has_listing && worker.failed_calls == 0 &&
-         !worker.may_have_restarted && all_seen;
+         !worker.may_have_restarted && all_confirmed;
 }
 
 bool IsClockConsistent(const Worker& worker,
@@ -91,7 +91,7 @@
       std::max(ordered - worker.clock_read_at, base::Micros::zero());
   const double least = static_cast<double>(worker.clock_ms) +
                        base::Seconds(since) * 1000.0 * kMinClockRate -
-                       static_cast<double>(base::Millis(kOvertaken));
+                       static_cast<double>(base::Millis(kReorderTolerance));
   return worker.clock_ms > 0 && static_cast<double>(clock_ms) >= least;
 }
 
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -26,14 +26,14 @@
 
 const Worker* Scheduler::FindWorker(const std::string& id) const {
   const auto found = this->workers.lower_bound({.id = id});
-  const bool is_it = found != this->workers.end() && found->first.id == id;
-  return is_it ? &found->second : nullptr;
+  const bool is_match = found != this->workers.end() && found->first.id == id;
+  return is_match ? &found->second : nullptr;
 }
 
 Worker* Scheduler::CurrentLife(const std::string& id) {
   const auto found = this->workers.lower_bound({.id = id});
-  const bool is_it = found != this->workers.end() && found->first.id == id;
-  return is_it ? &found->second : nullptr;
+  const bool is_match = found != this->workers.end() && found->first.id == id;
+  return is_match ? &found->second : nullptr;
 }
 
 Worker* Scheduler::HolderOf(const jobs::WorkerLife& life) {
