--- a/scheduler/worker.h
+++ b/scheduler/worker.h
@@ -1,5 +1,5 @@
-// A worker as the scheduler keeps it: its room, its runs, and how long the
-// lease that was granted to it can last.
+// The scheduler's state of one worker: its capacity, its runs, and bounds on
+// the end of the lease it was granted.
 
 #ifndef SCHEDULER_WORKER_H_
 #define SCHEDULER_WORKER_H_
@@ -18,15 +18,16 @@
 namespace quartzhoist::scheduler {
 
 enum class RunState {
-  kPlanned,    // its placement is being recorded; the worker is not told yet
-  kInherited,  // an earlier owner placed it: its worker's listing settles it
-  kStarting,   // the order is on its way
-  kRunning,    // answered or listed
-  kUnsettled,  // the order got no answer: it may still be carried out
-  kStopping,   // it is to end; the room is free once the end is listed
+  kPlanned,    // the placement is being recorded; no start has been sent
+  kInherited,  // placed by an earlier owner; awaiting the worker's listing
+  kStarting,   // the start request is in flight
+  kRunning,    // the start was acknowledged or the run was listed
+  kUnsettled,  // the start got no answer and may still be carried out
+  kStopping,   // being stopped; its resources are freed once its end is listed
 };
 
-// A worker's life that was lost under a run, unless the next one has begun it.
+// The loss of a worker life that may have had the run. It counts only if the
+// next life turns out not to have started the run.
 struct PossibleLoss {
   jobs::WorkerLife life;
   jobs::WorkerLoss loss;
@@ -35,47 +36,49 @@
 struct Run {
   int number = 0;
   RunState state = RunState::kStarting;
-  jobs::Resources reserved;  // what it takes of the room
-  // What it counts for towards its organisation's quota, and where that is
-  // counted; null: nowhere.
+  jobs::Resources reserved;  // share of the worker's capacity
+  // Charge against the organisation's quota, and the total it is added to
+  // (null if it is not charged).
   jobs::Resources quota_usage;
   jobs::Resources* organisation_usage = nullptr;
   std::string image;
-  base::Micros decided_at{};          // when the order was decided
-  base::Micros start_answered_at{};   // when the start was answered
-  base::Micros start_unsettled_at{};  // when the start was given up unanswered
-  base::Micros stop_answered_at{};    // when a stop was answered; 0: none yet
+  base::Micros decided_at{};          // when the placement was decided
+  base::Micros start_answered_at{};   // when the start was acknowledged
+  base::Micros start_unsettled_at{};  // when the start was given up
+  base::Micros stop_answered_at{};    // when a stop was acknowledged; 0: never
   base::Micros stop_sent_at{};        // when a stop was last sent
-  // When the first look was sent since which no listing shows it, nor its end.
+  // Send time of the first poll since which neither the run nor its end has
+  // been listed; 0 if it is not missing.
   base::Micros missing_since{};
   bool lasting = false;
   bool fills = false;
-  bool adopted = false;  // started by an earlier owner
-  bool has_unknown_resources =
-      false;  // its job is not known, nor what it takes
-  // Its worker's life has been heard to have it; else a later one may.
+  bool adopted = false;  // not started by this owner, or a late start
+  // The job or its task is not known, so neither is the resource usage.
+  bool has_unknown_resources = false;
+  // The current life of the worker is known to have the run. Until then the
+  // start may have reached a later life instead.
   bool is_confirmed = false;
-  // Of the life before this one: what is to be noted if this one never had it.
+  // Loss of the previous life, recorded if the current one never had the run.
   std::optional<PossibleLoss> possible_loss;
-  // Of crashing its worker; none once it has run on for some time.
+  // Suspicion of crashing the worker; cleared once the run has survived for
+  // some time.
   Suspicion suspicion = Suspicion::kNone;
   int percent = 0;
-  base::Micros
-      progress_changed_at{};  // when its percent was last seen to change
-  int pace = 100;             // the share of its speed that it is let work at
+  base::Micros progress_changed_at{};
+  int pace = 100;  // allowed share of full speed, in percent
   std::int64_t load = -1;
   std::int64_t target_ms = 0;
 };
 
-// An end that was taken in, and the change of its job's row that holds it.
+// An end that was processed, and the change of its job's row that records it.
 struct PendingEnd {
   std::int64_t number = 0;
   std::string job;
   std::uint64_t change = 0;
-  bool awaits_job = false;  // its job is not known: no row holds it
+  bool awaits_job = false;  // the job has not been read, so no row records it
 };
 
-// A start without an answer, which may be carried out late.
+// A start that got no answer and may still be carried out.
 struct UnansweredStart {
   jobs::TaskId task;
   int run = 0;
@@ -84,63 +87,67 @@
 
 struct Worker {
   WorkerInfo info;
-  bool has_listing = false;  // has answered a look under this owner's epoch
-  // The stored list says that this owner grants it leases.
+  bool has_listing = false;  // has answered a poll under this owner's epoch
+  // The stored list of lease holders names this worker for this owner.
   bool is_lease_recorded = false;
-  bool is_announced = true;  // its announcement stands in the store
-  // Room and labels are its own; else those of the life before, and its own
-  // announcement has not been read.
+  bool is_announced = true;  // its announcement is in the store
+  // False while capacity and labels are copied from the previous life because
+  // this life's announcement has not been read.
   bool is_described = true;
-  // It may hold a lease that was granted on the clock of the life before.
+  // It may hold a lease whose deadline was set on the previous life's clock.
   bool may_hold_earlier_lease = false;
-  // A start was answered by an earlier clock: a later life may be there.
+  // A start was answered with a clock reading that this life cannot have, so a
+  // later life may be running.
   bool may_have_restarted = false;
-  base::Micros withdrawn_at{};  // when its announcement went
+  base::Micros withdrawn_at{};  // when its announcement was removed
   bool poll_in_flight = false;
   base::Micros poll_sent_at{};
   base::Micros next_poll_at{};
   base::Micros last_answer_at{};
-  base::Micros
-      listing_requested_at{};  // when the last look that was answered was sent
-  // An upper bound, on our clock, of when everything on it is over.
+  base::Micros listing_requested_at{};  // send time of the last answered poll
+  // Upper bound, on this process's clock, of the end of every run there.
   base::Micros latest_lease_end{};
-  // A lower bound: until when looks that it has answered granted it a lease.
+  // Lower bound: the latest lease end granted by a poll that was answered.
   base::Micros earliest_lease_end{};
-  base::Micros poll_lease_end{};  // what the look in flight grants; 0: nothing
-  std::int64_t poll_acknowledged_end =
-      0;  // what the look in flight acknowledges
-  // Runs were taken as over with their lease, and it has not answered since.
+  // Lease end that the poll in flight grants; 0 if it grants none.
+  base::Micros poll_lease_end{};
+  // Last end that the poll in flight acknowledges.
+  std::int64_t poll_acknowledged_end = 0;
+  // Runs were presumed over when the lease expired, and the worker has not
+  // answered since.
   bool runs_presumed_over = false;
-  // Its clock, as read at `clock_read` on ours (when the answer came).
+  // The worker's clock, and when its reading arrived on this process's clock.
   std::int64_t clock_ms = 0;
   base::Micros clock_read_at{};
-  std::int64_t last_processed_end = 0;  // ends up to this number were taken in
-  std::int64_t last_recorded_end = 0;   // ends up to this number are recorded
-  std::int64_t last_acknowledged_end = 0;  // ends that it knows to be recorded
-  std::deque<PendingEnd> pending_ends;     // taken in, not yet recorded
-  std::deque<UnansweredStart>
-      recent_unanswered_starts;  // of late, the oldest first
+  // Ends are numbered per life and handled in order: first processed, then
+  // recorded in the store, then acknowledged to the worker. Each of these is
+  // the highest number that has passed the stage.
+  std::int64_t last_processed_end = 0;
+  std::int64_t last_recorded_end = 0;
+  std::int64_t last_acknowledged_end = 0;
+  std::deque<PendingEnd> pending_ends;  // processed but not yet recorded
+  std::deque<UnansweredStart> recent_unanswered_starts;  // oldest first
   std::map<jobs::TaskId, Run> runs;
   jobs::Resources used;
-  int lasting_runs = 0;  // lasting tasks among the runs: they pin the box
-  int unknown_runs = 0;  // runs of jobs that are not known
-  int suspect_runs = 0;  // runs that are watched for crashing it
-  int probe_runs = 0;    // of them, those beside which nothing is placed
-  // Health, from the ends of tasks and failed calls.
-  double failure_rate = 0.0;  // moving average of failed ends
+  int lasting_runs = 0;  // runs of lasting tasks, which pin the box
+  int unknown_runs = 0;  // runs with unknown resources
+  int suspect_runs = 0;  // runs suspected of crashing the worker
+  int probe_runs = 0;    // suspects beside which nothing else is placed
+  // Health, derived from ended runs and failed calls.
+  double failure_rate = 0.0;  // moving average over ended runs
   int failed_calls = 0;       // since the last answer
-  int consecutive_unanswered_starts =
-      0;  // since the last start that was answered
+  int consecutive_unanswered_starts = 0;
   base::Micros quarantined_until{};
   base::Micros slow_until{};  // its runs take much longer than elsewhere
 
-  // None while it is not known what some of the runs take.
+  // None while the resource usage of any run is unknown.
   jobs::Resources free_capacity() const {
     return this->unknown_runs > 0 ? jobs::Resources()
                                   : this->info.capacity - this->used;
   }
   bool idle() const { return this->runs.empty(); }
-  // It answered on after its announcement had gone: it was to leave.
+  // It still answered after its announcement was removed, so it is leaving on
+  // purpose.
   bool has_withdrawn() const {
     return !this->is_announced && this->last_answer_at > this->withdrawn_at;
   }
@@ -148,32 +155,36 @@
 
 Run& AddRun(Worker& worker, const jobs::TaskId& task, Run run);
 void RemoveRun(Worker& worker, const jobs::TaskId& task);
-// The run is not suspected any more.
 void ClearSuspicion(Worker& worker, Run& run);
-// Notes a start without an answer, and forgets those that can come no more.
+// Records a start that got no answer, and drops those that are too old to be
+// carried out any more.
 void RecordUnansweredStart(Worker& worker, const UnansweredStart& start);
-// Takes all of its runs off the worker.
+// Removes all runs from the worker and returns them.
 std::map<jobs::TaskId, Run> ExtractRuns(Worker& worker);
 
-// May the worker be told to forget ends? A later life that hears the number,
-// and has ended runs of its own, would forget those unread.
+// Whether ends may be acknowledged to the worker. Ends are numbered per life,
+// so a later life that receives the acknowledgement would discard its own ends
+// before they are read.
 bool CanAcknowledgeEnds(const Worker& worker);
 
-// Whether this reading of a clock, for a start that was ordered at `ordered`,
-// can be of the life that was listed: clocks never go back, and the next life's
-// starts anew.
+// Whether a clock reading in the answer to a start decided at `ordered` can
+// come from the life that was listed. A worker's clock never goes back and
+// starts anew in each life.
 bool IsClockConsistent(const Worker& worker,
                        std::int64_t clock_ms,
                        base::Micros ordered);
 
-// Do tasks that serve run beside tasks that fill?
+// Whether the worker has both serving runs (with a latency target) and filling
+// runs.
 bool MixesServingAndFillingRuns(const Worker& worker);
 
-// The deadline to grant, on the worker's clock, so that it is over at `end` on
-// ours even if its clock runs slow. 0 if its clock has not been read yet.
+// The lease deadline on the worker's clock that expires no later than `end` on
+// this process's clock, even if the worker's clock runs slow. 0 if its clock
+// has not been read yet.
 std::int64_t DeadlineFor(const Worker& worker, base::Micros end);
 
-// Workers' steady clocks may run 2% slow (the platform's pages).
+// Workers' monotonic clocks may run up to 2% slow, per the platform's
+// documentation.
 inline constexpr double kMinClockRate = 0.98;
 
 }  // namespace quartzhoist::scheduler
