--- a/scheduler/worker.cc
+++ b/scheduler/worker.cc
@@ -7,10 +7,11 @@
 
 namespace {
 
-// By so much an answer may overtake one that was given before.
+// How much earlier than the last reading an answer's clock may be, since
+// answers can arrive out of order.
 constexpr base::Micros kReorderTolerance = std::chrono::milliseconds(100);
-// A call without an answer may be carried out so much later (the platform's
-// pages: seconds; 2 to 12 s on the sites).
+// Longest delay after which a call that got no answer may still be carried out.
+// The platform's documentation says seconds; 2 to 12 s were seen on the sites.
 constexpr base::Micros kMaxOrderDelay = std::chrono::seconds(12);
 
 void ReleaseQuota(const Run& run) {
