--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -1,9 +1,9 @@
-// Lives of workers: which of them is the one to speak to, and what becomes of
-// a life's runs when a later one follows it under the same id.
+// Lives of workers: which life of a worker id is the current one, and what
+// happens to the runs of a life when the worker restarts under the same id.
 //
-// A start that was meant for one life may have been begun by the next, which
-// answers under the same id. So what a life has not been heard to have moves to
-// the next one, whose listing settles it; all else ended with its life.
+// A start sent to one life may have been carried out by the next, which answers
+// under the same id. So runs that a life has not confirmed move to the next
+// life, whose listing settles them. All other runs ended with their life.
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
 
 namespace quartzhoist::scheduler {
 
-// --- Which life ---
+// --- Lookup ---
 
 Worker* Scheduler::FindLife(const jobs::WorkerLife& life) {
   const auto found = this->workers.find(life);
@@ -48,12 +48,12 @@
   return ended != this->ended_lives.end() && life.born_ms <= ended->second;
 }
 
-// --- Lives that come ---
+// --- New lives ---
 
 void Scheduler::PutWorker(const WorkerInfo& announced, base::Micros now) {
   WorkerInfo info = announced;
   Worker* known = this->CurrentLife(info.life.id);
-  // One without a start is of the life that is there.
+  // An announcement without a start time belongs to the known life.
   if (known && info.life.born_ms == 0)
     info.life = known->info.life;
   const bool is_earlier = known && known->info.life.IsAfter(info.life);
@@ -72,7 +72,8 @@
   known->is_announced = true;
   known->is_described = true;
   if (info.draining && !had_drained)
-    this->actions.emplace_back(Note{info.life.id, "drains: nothing is placed"});
+    this->actions.emplace_back(
+        Note{info.life.id, "is draining; placing nothing on it"});
 }
 
 void Scheduler::InheritWorker(const WorkerInfo& info, base::Micros lease_end) {
@@ -86,7 +87,8 @@
   ++this->worker_change_count;
 }
 
-// The life whose answer it is; null if that says nothing of one that is known.
+// The life that the answer is from; null if it is from an earlier life, or the
+// asked life is not known.
 Worker* Scheduler::LifeThatAnswered(const jobs::WorkerLife& asked,
                                     const jobs::WorkerLife& answered,
                                     base::Micros now) {
@@ -105,20 +107,20 @@
   return &next;
 }
 
-// `earlier` is gone when this returns.
+// Replaces `earlier` by the life in `info`; `earlier` is invalid afterwards.
 Worker& Scheduler::Restarted(Worker& earlier,
                              const WorkerInfo& info,
                              base::Micros now) {
   const jobs::WorkerLife over = earlier.info.life;
   std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses = this->LossesUnder(earlier, runs, LossSign::kRestarted);
-  // 1. The next life, under the same lease as far as that is known.
+  // 1. Create the next life.
   Worker& next = this->workers[info.life];
   next.info = info;
   next.is_announced = earlier.is_announced;
   next.poll_sent_at = earlier.poll_sent_at;
   next.next_poll_at = now;
-  // 2. What it may have begun.
+  // 2. Move runs that it may have started.
   WorkerRestarted restarted{.worker = info.life,
                             .earlier_born_ms = over.born_ms,
                             .ends_read = earlier.last_processed_end};
@@ -137,20 +139,21 @@
     it = runs.erase(it);
     ++restarted.moved_runs;
   }
-  // An order that was meant for the earlier life may have reached this one: its
-  // deadline lies far ahead on a clock that has just begun.
+  // An order sent to the earlier life may have reached this one. Its lease
+  // deadline then lies far ahead on a clock that has just restarted.
   next.may_hold_earlier_lease = true;
   next.latest_lease_end =
       std::max(earlier.latest_lease_end, now + this->limits.longest_lease);
   this->actions.emplace_back(restarted);
-  // The earlier life refused what had been stopped there; this one does not.
+  // The earlier life refuses late starts of runs that were stopped there; the
+  // next one does not know of the stops, so they are sent again.
   for (const UnansweredStart& start : earlier.recent_unanswered_starts) {
     if (!next.runs.contains(start.task))
       this->actions.emplace_back(
           StopRun{.worker = info.life, .task = start.task, .run = start.run});
   }
   next.recent_unanswered_starts = std::move(earlier.recent_unanswered_starts);
-  // 3. All else is over.
+  // 3. All other runs are lost.
   if (!runs.empty())
     this->LoseRuns(earlier, runs, losses, LossSign::kRestarted, now);
   this->LifeIsOver(over, LossSign::kRestarted, now);
@@ -181,7 +184,7 @@
   AddRun(next, id, std::move(run));
 }
 
-// --- Lives that go ---
+// --- Ended lives ---
 
 void Scheduler::WorkerUnlisted(const std::string& id, base::Micros now) {
   this->ended_lives.erase(id);
@@ -205,8 +208,9 @@
   ++this->worker_change_count;
 }
 
-// A store that has forgotten its history is read anew, rows of ended lives
-// included: such a life on a box in upkeep would pass for the one after it.
+// Remembers the life as over. When the store has discarded its change history,
+// all rows are read again, including announcements of ended lives. Without this
+// record, such a life on a box in upkeep would be taken for its successor.
 void Scheduler::LifeIsOver(const jobs::WorkerLife& life,
                            LossSign sign,
                            base::Micros now) {
