--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -1,4 +1,5 @@
-// What workers say of themselves, and what their silence means.
+// Handling of workers' listings, of answers to starts and stops, and of lease
+// expiry for workers that do not answer.
 
 #include <algorithm>
 #include <set>
@@ -15,25 +16,27 @@
 
 using std::chrono::milliseconds;
 
-// After ends were listed the next look waits a little, so that it brings more
-// than one: each look costs like a probe.
+// Delay of the next poll after ends were listed, so that it returns several
+// ends at once. Each poll costs as much as a probe.
 constexpr base::Micros kPollDelayAfterEnds = milliseconds(200);
-// A worker that did not answer is asked again after this, times the failures
-// in a row, up to the second.
+// A poll that failed is repeated after kPollRetryDelay times the number of
+// failures in a row, at most kMaxPollRetryDelay. A worker that refused a
+// start for lack of room or an expired lease gets nothing for kPollRetryDelay.
 constexpr base::Micros kPollRetryDelay = milliseconds(250);
 constexpr base::Micros kMaxPollRetryDelay = milliseconds(1000);
-// So many starts in a row without an answer, and the worker gets nothing for a
-// while. Where a third of all answers is lost it does so now and then.
+// After this many unanswered starts in a row nothing is placed on the worker
+// for kUnansweredStartsQuarantine. Where a third of all answers is lost, this
+// happens now and then.
 constexpr int kMaxUnansweredStarts = 3;
 constexpr base::Micros kUnansweredStartsQuarantine = std::chrono::seconds(4);
-// An order without an answer: a look, then a stop, are sent this soon again.
+// A stop without an answer is sent again after this.
 constexpr base::Micros kStopRetryDelay = milliseconds(600);
-// A look that is to settle a stop leaves this long after the stop's time.
+// The poll that settles a stop is sent this long after the stop's time limit.
 constexpr base::Micros kStopPollSlack = milliseconds(20);
-// Slack for clocks and timers when a lease is taken as over.
+// Tolerance for clocks and timers before a lease is treated as expired.
 constexpr base::Micros kLeaseExpirySlack = milliseconds(200);
-// A worker whose announcement is gone and that does not answer either is
-// forgotten once its lease is over.
+// A worker whose announcement was removed and that failed this many calls is
+// dropped once its lease has expired.
 constexpr int kFailedCallsUntilDropped = 2;
 
 }  // namespace
@@ -45,7 +48,7 @@
   if (!answered)
     return;
   Worker& worker = *answered;
-  // 1. It answers: its clock is known, and its lease renewed.
+  // 1. Record the answer: clock reading, renewed lease, acknowledged ends.
   worker.poll_in_flight = false;
   worker.earliest_lease_end =
       std::max(worker.earliest_lease_end, worker.poll_lease_end);
@@ -57,8 +60,9 @@
   if (!worker.has_listing) {
     ++this->worker_change_count;
     this->fleet.BoxAnswered(worker.info.box);
-    // From now on it refuses every earlier owner's grant: lasting tasks of one
-    // that died 3 s after a takeover had waited for 7 s more.
+    // From now on the worker refuses grants of earlier owners. Without this
+    // bound the lasting tasks of a worker that died 3 s after a takeover waited
+    // another 7 s.
     if (!worker.may_hold_earlier_lease)
       worker.latest_lease_end =
           std::min(worker.latest_lease_end, now + this->limits.longest_grant);
@@ -71,7 +75,7 @@
   worker.clock_ms = listing.clock_ms;
   worker.clock_read_at = now;
   this->SettleLosses(worker, now);
-  // 2. Ends before runs: a task that ended may be listed as running again.
+  // 2. Ends go before runs: a task that ended may run there again.
   bool has_new_ends = false;
   for (const ListedEnd& end : listing.ended) {
     if (end.number <= worker.last_processed_end) {
@@ -82,15 +86,15 @@
     worker.last_processed_end = end.number;
     has_new_ends = true;
   }
-  // 3. What runs there.
+  // 3. Listed runs.
   for (const ListedRun& run : listing.running)
     this->TakeRunning(worker, run, now);
-  // 4. What should, and is not listed.
+  // 4. Expected runs that are not listed.
   this->SettleMissing(worker, listing, now);
   this->MoveOffBadWorker(worker, now);
   this->PaceFillers(worker);
   this->Acknowledge(worker);
-  // Ends that it may not be told of yet are listed again at once.
+  // Ends that were not acknowledged yet are listed again at once.
   const bool has_unacknowledged_ends =
       worker.last_recorded_end > worker.last_acknowledged_end;
   worker.next_poll_at =
@@ -112,7 +116,7 @@
                             base::Micros now) {
   const auto found = worker.runs.find(listed.task);
   if (found == worker.runs.end() || found->second.number != listed.run) {
-    // An older run beside a newer one on the same worker is only ended.
+    // An older run beside a newer one of the same task is only stopped.
     if (found != worker.runs.end()) {
       this->actions.emplace_back(StopRun{
           .worker = worker.info.life, .task = listed.task, .run = listed.run});
@@ -143,15 +147,16 @@
   Task& task = TaskAt(*job, PlaceOf(listed.task));
   if (!listed.checkpoint.empty())
     task.checkpoint = listed.checkpoint;
-  // One that is being stopped is away, whatever an older listing says.
+  // A run that is being stopped does not count as at work, even if an older
+  // listing shows it at 100%.
   task.at_work = listed.percent >= 100 && run.state == RunState::kRunning;
-  // An earlier owner's run of a job, or a task, that was over by then.
+  // The run may be an earlier owner's, of a job or task that is over by now.
   if (job->end_stands() || task.state == TaskState::kDone)
     this->Stop(worker, listed.task, now);
 }
 
-// A run that this owner did not start: an earlier owner's, or an order that was
-// given up and carried out late.
+// Takes in a run that this owner does not expect: it was started by an earlier
+// owner, or by a start that got no answer and was carried out late.
 void Scheduler::AdoptRun(Worker& worker,
                          const ListedRun& listed,
                          base::Micros now) {
@@ -181,15 +186,15 @@
     if (step.fills)
       run.reserved.cpu_millis = 0;
   }
-  // No task of the job: what it takes is not known.
+  // Without a matching task of the job the resource usage is unknown.
   run.has_unknown_resources = !known;
   AddRun(worker, listed.task, run);
-  // It runs, so it has a lease, whoever granted it.
+  // A listed run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.longest_grant);
   if (known) {
     Task& task = TaskAt(*job, PlaceOf(listed.task));
-    // What runs goes before what is only planned.
+    // An actual run takes precedence over a placement that is only planned.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
       const auto plan = other->second.runs.find(listed.task);
@@ -218,11 +223,11 @@
     if (job->unsaved_end > 0)
       return;
   }
-  this->actions.emplace_back(
-      Note{listed.task.job,
-           fmt::format("run {} of {}.{}.{} on {} is not wanted: stopped",
-                       listed.run, listed.task.occurrence, listed.task.step,
-                       listed.task.index, worker.info.life.id)});
+  this->actions.emplace_back(Note{
+      listed.task.job,
+      fmt::format("stopping run {} of task {}.{}.{} on {}: it is not needed",
+                  listed.run, listed.task.occurrence, listed.task.step,
+                  listed.task.index, worker.info.life.id)});
   this->Stop(worker, listed.task, now);
 }
 
@@ -236,8 +241,9 @@
   for (auto& [task, run] : worker.runs) {
     if (listed.contains(task))
       continue;
-    // The listing may be older than the order's answer. Under this owner's
-    // epoch no earlier owner's order can follow.
+    // The listing may be older than the answer to the start or stop. An
+    // inherited run cannot be started later, since the worker now refuses
+    // earlier epochs.
     const bool start_settled = run.state == RunState::kRunning &&
                                run.start_answered_at < worker.poll_sent_at;
     const bool stop_settled = run.stop_answered_at > base::Micros::zero() &&
@@ -245,8 +251,9 @@
     const bool inherited = run.state == RunState::kInherited;
     if (!start_settled && !stop_settled && !inherited)
       continue;
-    // What is being stopped, by whatever order, keeps its room until its end is
-    // listed; one that was never there has no end.
+    // A run that is being stopped keeps its resources until its end is listed.
+    // A run that never started has no end, so it is dropped once it has been
+    // missing for longer than a stop can take.
     if (run.missing_since == base::Micros::zero())
       run.missing_since = worker.poll_sent_at;
     else if (worker.poll_sent_at > run.missing_since + this->limits.stop_time)
@@ -262,8 +269,8 @@
   }
 }
 
-// What a call's outcome says of the worker and of this ownership. The worker,
-// or null if it is not known or its life is over.
+// Applies what a call's outcome tells about the worker and about this
+// ownership. Returns null if the life is not known or over.
 Worker* Scheduler::TakeOutcome(const jobs::WorkerLife& life,
                                OrderOutcome outcome,
                                base::Micros now) {
@@ -303,12 +310,13 @@
                         base::Micros now,
                         std::int64_t clock_ms) {
   Worker* found = this->HolderOf(order.worker);
-  // Another life answered: this one has not started it.
+  // Another life answered, so this one has not started the run.
   if (outcome == OrderOutcome::kOtherLife && found) {
     RemoveRun(*found, order.task);
     this->TaskLost(order.task, order.run, now);
   }
-  // Else the run is a later life's by now, which the answer says nothing of.
+  // Otherwise the run has moved to a later life, and the answer tells nothing
+  // about that one.
   if (!found || found->info.life == order.worker)
     found = this->TakeOutcome(order.worker, outcome, now);
   if (!found)
@@ -342,7 +350,7 @@
     this->RestIfStartsAreLost(worker, now);
     return;
   }
-  // It has not been carried out: the room is free, the task to be placed.
+  // The start was not carried out: free the resources and place the task again.
   RemoveRun(worker, order.task);
   if (job && Exists(*job, PlaceOf(order.task)))
     this->TakeBackLastTry(*job, PlaceOf(order.task), order.run);
@@ -359,7 +367,8 @@
   this->TaskLost(order.task, order.run, now);
 }
 
-// Whether the life that was listed has answered the start.
+// Confirms the run if the answer's clock shows that the listed life, rather
+// than a later one, answered the start.
 void Scheduler::NoteClock(Worker& worker,
                           const StartRun& order,
                           Run& run,
@@ -377,18 +386,19 @@
   worker.next_poll_at = std::min(worker.next_poll_at, now);
 }
 
-// A worker that answers looks and no starts would take task after task.
+// Without this limit, a worker that answers polls but no starts would be given
+// task after task.
 void Scheduler::RestIfStartsAreLost(Worker& worker, base::Micros now) {
   if (++worker.consecutive_unanswered_starts < kMaxUnansweredStarts)
     return;
   worker.consecutive_unanswered_starts = 0;
   worker.quarantined_until = now + kUnansweredStartsQuarantine;
-  this->actions.emplace_back(Note{
-      worker.info.life.id,
-      fmt::format("leaves {} starts in a row unanswered: nothing is placed "
-                  "for {:.0f} s",
-                  kMaxUnansweredStarts,
-                  base::Seconds(kUnansweredStartsQuarantine))});
+  this->actions.emplace_back(
+      Note{worker.info.life.id,
+           fmt::format("did not answer {} starts in a row; placing nothing "
+                       "on it for {:.0f} s",
+                       kMaxUnansweredStarts,
+                       base::Seconds(kUnansweredStartsQuarantine))});
 }
 
 bool Scheduler::StillWanted(const StartRun& order) const {
@@ -409,7 +419,7 @@
   Run& run = found->second;
   if (run.state == RunState::kStopping)
     return;
-  // Its worker has not been told.
+  // No start has been sent for it.
   if (run.state == RunState::kPlanned) {
     const int number = run.number;
     RemoveRun(worker, task);
@@ -418,7 +428,8 @@
   }
   run.state = RunState::kStopping;
   run.stop_sent_at = now;
-  // An answer to an earlier stop, of a start that was open, says nothing now.
+  // An earlier stop was sent for a start with an open outcome; its answer does
+  // not settle this stop.
   run.stop_answered_at = {};
   this->actions.emplace_back(
       StopRun{.worker = worker.info.life, .task = task, .run = run.number});
@@ -439,20 +450,21 @@
   if (!settled)
     return;
   run->second.stop_answered_at = now;
-  // Its end is listed within the stop's time.
+  // The end is listed within the time limit of a stop.
   if (!worker.poll_in_flight)
     worker.next_poll_at = std::min(
         worker.next_poll_at, now + this->limits.stop_time + kStopPollSlack);
 }
 
-// Stops that got no answer, and starts whose fate is open.
+// Sends stops again that were not answered, and stops runs whose start got no
+// answer.
 void Scheduler::DueStops(base::Micros now) {
   for (auto& [id, worker] : this->workers) {
     for (auto& [task, run] : worker.runs) {
       const bool unanswered = run.state == RunState::kStopping &&
                               run.stop_answered_at == base::Micros::zero();
-      // A lasting task may be at work by now, and others of its step away: a
-      // listing that does not show it comes first.
+      // A lasting task may be at work by now while others of its step are
+      // away, so it is stopped only after a listing that does not show it.
       const bool may_work =
           run.lasting && worker.listing_requested_at <= run.start_unsettled_at;
       const bool open = run.state == RunState::kUnsettled && !may_work &&
@@ -466,14 +478,15 @@
   }
 }
 
-// Nothing runs beyond a lease: what is on a silent worker is over then.
+// Workers stop their runs when the lease expires, so the runs of an
+// unresponsive worker are over by then.
 void Scheduler::ExpireLeases(base::Micros now) {
   std::vector<jobs::WorkerLife> forgotten;
   for (auto& [id, worker] : this->workers) {
     const bool over = now > worker.latest_lease_end + kLeaseExpirySlack;
     if (!over)
       continue;
-    // A plan has no lease yet: the next listing or answer decides on it.
+    // A planned run has no lease yet; the next listing or answer decides on it.
     const bool only_plans = std::all_of(
         worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
           return entry.second.state == RunState::kPlanned;
