--- a/scheduler/looks.cc
+++ b/scheduler/looks.cc
@@ -1,5 +1,5 @@
-// When a worker is asked for its listing, how long it may wait with it, and
-// when that renews its lease.
+// Polling of workers for their listings: when a poll is sent, how long the
+// worker may hold it open, and whether it renews the worker's lease.
 
 #include <algorithm>
 
@@ -11,22 +11,24 @@
 
 using std::chrono::milliseconds;
 
-// How long a look waits at a worker for an end, at most. Each look costs like
-// a probe; the platform allows up to 2 s.
+// Longest time that a worker may hold a poll open while waiting for an end.
+// Each poll costs as much as a probe. The platform allows up to 2 s.
 constexpr base::Micros kMaxPollWait = milliseconds(1500);
-// What a lease has left at least while its owner lives: another owner takes
-// over within 1.3 to 1.9 s and then looks at each worker.
+// Minimum time left on a lease while its owner is alive. Another owner takes
+// over within 1.3 to 1.9 s and then has to poll every worker.
 constexpr base::Micros kMinRemainingLease = milliseconds(2500);
-// A look is to wait for an end at least so long, else it renews the lease.
+// A poll whose wait would be shorter than this renews the lease instead.
 constexpr base::Micros kMinPollWait = milliseconds(300);
-// With an order whose fate is open the listing itself is the news.
+// Wait while the outcome of a start or stop is open: the listing itself, rather
+// than an end, settles it.
 constexpr base::Micros kUnsettledPollWait = milliseconds(300);
-// Where tasks fill beside others that serve, the tails change within seconds.
+// Wait at workers with both serving and filling runs, where tail latencies
+// change within seconds.
 constexpr base::Micros kMixedRunsPollWait = milliseconds(500);
-// Ends that are not recorded yet are looked at this soon again.
+// Poll delay while processed ends are not recorded yet.
 constexpr base::Micros kUnrecordedEndsPollDelay = milliseconds(20);
 
-// Ends are recorded, and the worker has not heard so.
+// Whether recorded ends have not been acknowledged to the worker yet.
 bool HasUnsentAcknowledgement(const Worker& worker) {
   return worker.last_recorded_end > worker.last_acknowledged_end;
 }
@@ -38,7 +40,6 @@
                      });
 }
 
-// How long a look may wait at the worker for an end.
 base::Micros PollWaitFor(const Worker& worker) {
   const bool is_unsettled = std::any_of(
       worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
@@ -53,11 +54,11 @@
   return MixesServingAndFillingRuns(worker) ? kMixedRunsPollWait : kMaxPollWait;
 }
 
-// What runs on a box that a cut or a crash has taken starts elsewhere only once
-// its lease is over. Looks at a busy worker come each few 100 ms: if each of
-// them renewed, the wait would always be a whole lease. So a lease is renewed
-// when little of it is left, and the look waits no longer than until then: the
-// tasks of a busy worker that falls silent wait for less than a lease.
+// Tasks on a box that crashed or was cut off restart elsewhere only after its
+// lease has expired. A busy worker is polled every few 100 ms; if every poll
+// renewed the lease, that delay would always be a full lease. So a lease is
+// renewed only when little of it is left, and a poll waits no longer than until
+// then, which keeps the delay below a full lease.
 LookAt MakePoll(const Worker& worker, base::Micros now) {
   const base::Micros spare =
       worker.earliest_lease_end - now - kMinRemainingLease;
@@ -69,7 +70,8 @@
       .worker = worker.info.life,
       .acknowledged = acknowledges ? worker.last_recorded_end : 0,
       .wait = is_due ? wait : std::min(wait, spare),
-      // A silent worker's lease is to run out, whether or not it hears this.
+      // The lease of an unresponsive worker must run out, even if the worker
+      // receives this poll.
       .renews = is_due && worker.is_lease_recorded && worker.failed_calls == 0};
 }
 
@@ -101,16 +103,16 @@
     return;
   for (auto& [id, worker] : this->workers) {
     this->Acknowledge(worker);
-    // A silent worker is asked until it answers or its life is over: nothing
-    // is placed on it before.
+    // An unresponsive worker is polled until it answers or its life is over,
+    // because nothing is placed on it before.
     const bool needs_poll =
         !worker.has_listing || !worker.idle() || worker.failed_calls > 0 ||
         worker.last_recorded_end < worker.last_processed_end ||
         HasUnsentAcknowledgement(worker) || worker.may_have_restarted;
     if (!needs_poll || worker.poll_in_flight || now < worker.next_poll_at)
       continue;
-    // What has ended and is not recorded, or may not be acknowledged while a
-    // start is on its way, would be listed again at once.
+    // The worker would answer at once with the same ends if they are not
+    // recorded yet, or cannot be acknowledged while a start is in flight.
     const bool would_repeat =
         worker.last_recorded_end < worker.last_processed_end ||
         (HasUnsentAcknowledgement(worker) && HasStartInFlight(worker));
