--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -1,4 +1,4 @@
-// How runs end, and what follows for their tasks, jobs and workers.
+// Handling of ended runs: the results for their tasks, jobs and workers.
 
 #include <algorithm>
 
@@ -12,27 +12,29 @@
 
 using std::chrono::milliseconds;
 
-// Moving average of failed ends; the weight of one more. About the last five
-// count: a worker that fails everything is found after two or three ends.
+// Weight of one more end in the moving average of failures. About the last five
+// ends count, so a worker that fails every run is detected after two or three.
 constexpr double kFailureWeight = 0.25;
-// Above this share of failures a worker gets nothing for a while. The few tasks
-// that fail anywhere stay below it.
+// From this failure rate on, a worker is quarantined. The few tasks that fail
+// on any worker stay below it.
 constexpr double kMaxFailureRate = 0.4;
 constexpr base::Micros kQuarantineTime = std::chrono::seconds(4);
-// After it, one failure more puts the worker back.
+// Failure rate after a quarantine, at which one more failure starts another.
 constexpr double kFailureRateAfterQuarantine = 0.3;
-// A run whose percent has not changed for so long stands still: tasks take 0.8
+// A run whose percent has not changed for this long has stalled. Tasks take 0.8
 // to 5 s, and even at an eighth of its speed a task of 5 s makes 3% in this
 // time.
 constexpr base::Micros kStallTimeout = milliseconds(1800);
-// A run crawls if what is left takes so many times what a run takes elsewhere.
+// A run is slow if it has taken, and its remaining work will take, more than
+// this many times the expected run time (for the remainder, plus kSlowSlack).
 constexpr int kSlowFactor = 2;
 constexpr base::Micros kSlowSlack = milliseconds(500);
-// How long a worker that crawls is passed over for others.
+// How long other workers are preferred to a worker that had a slow run.
 constexpr base::Micros kSlowWorkerPenalty = std::chrono::seconds(4);
-// A task is taken off a worker so often at most: it may be the task.
+// Maximum moves of a task off its worker, since the task itself may be the
+// cause.
 constexpr int kMaxMoves = 2;
-// How many workers on which a task failed are remembered.
+// Number of workers kept in a task's list of those on which it failed.
 constexpr std::size_t kMaxFailedWorkers = 4;
 
 void RecordFailedWorker(Task& task, const jobs::WorkerLife& worker) {
@@ -46,7 +48,7 @@
 void Scheduler::TakeEnd(Worker& worker,
                         const ListedEnd& end,
                         base::Micros now) {
-  // 1. The run's room is free.
+  // 1. Free the run's resources.
   const auto run = worker.runs.find(end.task);
   const bool is_current_run =
       run != worker.runs.end() && run->second.number == end.run;
@@ -64,7 +66,7 @@
                             now - ended.decided_at);
     }
   }
-  // 2. The task's fate.
+  // 2. Apply the result to the task.
   Job* job = this->FindJob(end.task.job);
   if (!job) {
     this->HoldEnd(worker, end);
@@ -73,7 +75,7 @@
   if (!Exists(*job, PlaceOf(end.task)))
     return;
   this->TakeFate(*job, worker.info.life, end, now);
-  // 3. It is acknowledged once the job's row holds it.
+  // 3. Acknowledge the end once the job's row records it.
   worker.pending_ends.push_back(
       {.number = end.number, .job = job->id, .change = job->change});
 }
@@ -106,7 +108,7 @@
   const jobs::StepKey key{.occurrence = place.occurrence, .step = place.step};
   const jobs::Step& step = StepOf(job, place);
   StepRuns& runs = StepAt(job, place);
-  // One such end of a gang's member stands for all.
+  // The completion of one gang member completes all of them.
   const int first = step.gang ? 0 : place.index;
   const int last =
       step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
@@ -116,7 +118,8 @@
     if (task.state == TaskState::kDone)
       continue;
     has_changed = true;
-    // An earlier run, beyond a cut, was done while another had begun.
+    // An earlier run completed behind a network partition after another run of
+    // the task had started.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
       const TaskPlace member{
@@ -147,7 +150,7 @@
   const jobs::Step& step = StepOf(job, place);
   Task& task = TaskAt(job, place);
   RecordFailedWorker(task, worker);
-  // A gang fails as one: its first task stands for it.
+  // A gang fails as a whole; failures are counted on its first task.
   const jobs::TaskKey key{
       .step = {.occurrence = place.occurrence, .step = place.step},
       .index = step.gang ? 0 : place.index};
@@ -192,7 +195,7 @@
     this->Enqueue(*job, place, now);
     return;
   }
-  // A gang is placed again as a whole, once no member is anywhere.
+  // A gang is placed again as a whole, once none of its members is placed.
   StepRuns& runs = StepAt(*job, place);
   bool any_placed = false;
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
@@ -222,14 +225,13 @@
   worker.quarantined_until = now + kQuarantineTime;
   this->actions.emplace_back(Note{
       worker.info.life.id,
-      fmt::format("fails {:.0f}% of its runs: nothing is "
-                  "placed for {:.0f} s",
+      fmt::format("failed {:.0f}% of its recent runs; "
+                  "placing nothing on it for {:.0f} s",
                   worker.failure_rate * 100, base::Seconds(kQuarantineTime))});
   worker.failure_rate = kFailureRateAfterQuarantine;
 }
 
-// Runs that stand still, or crawl, start anew elsewhere: what they have saved
-// goes with them.
+// Restarts stalled and slow runs on other workers, from their checkpoints.
 void Scheduler::MoveOffBadWorker(Worker& worker, base::Micros now) {
   std::vector<jobs::TaskId> stalled;
   std::vector<jobs::TaskId> slow;
@@ -246,7 +248,7 @@
   }
   for (const jobs::TaskId& id : stalled) {
     this->JudgeWorker(worker, true, now);
-    this->MoveOff(worker, id, "stands still", now);
+    this->MoveOff(worker, id, "has stalled", now);
   }
   for (const jobs::TaskId& id : slow) {
     worker.slow_until = now + kSlowWorkerPenalty;
@@ -254,7 +256,7 @@
   }
 }
 
-// Is the run so slow that it would end sooner if it began anew elsewhere?
+// Whether the run is so slow that it would end sooner if restarted elsewhere.
 bool Scheduler::IsCrawling(const Job& job,
                            const jobs::TaskId& id,
                            const Run& run,
@@ -283,13 +285,13 @@
   RecordFailedWorker(task, worker.info.life);
   this->actions.emplace_back(Note{
       id.job,
-      fmt::format("task {}.{}.{} {} on {}: it starts elsewhere", id.occurrence,
+      fmt::format("task {}.{}.{} {} on {}; restarting elsewhere", id.occurrence,
                   id.step, id.index, why, worker.info.life.id)});
   this->Stop(worker, id, now);
 }
 
-// Ends are recorded in the order of their numbers, since the worker is told
-// one number up to which it may forget.
+// Advances the last recorded end. Ends count as recorded in the order of their
+// numbers, because the worker discards all ends up to the acknowledged number.
 void Scheduler::Acknowledge(Worker& worker) {
   while (!worker.pending_ends.empty()) {
     const PendingEnd& end = worker.pending_ends.front();
