--- a/scheduler/inheritance.cc
+++ b/scheduler/inheritance.cc
@@ -1,4 +1,5 @@
-// What an earlier owner had placed, or was stopping, as a job's row tells it.
+// Takeover of placements and stops that an earlier owner recorded in a job's
+// row.
 
 #include <utility>
 #include <vector>
@@ -7,8 +8,8 @@
 
 namespace quartzhoist::scheduler {
 
-// What an earlier owner placed stays placed until its worker has been listed,
-// or its lease is over.
+// A placement of an earlier owner is kept until its worker has been listed or
+// the worker's lease has expired.
 void Scheduler::InheritRuns(Job& job, base::Micros now) {
   std::vector<std::pair<TaskPlace, jobs::Placement>> lost;
   for (const auto& [key, placement] : job.progress.placed) {
@@ -24,7 +25,7 @@
       continue;
     task.newest_run = std::max(task.newest_run, placement.run);
     Worker* worker = this->HolderOf(placement.worker);
-    // A worker that no owner has in its list has no lease any more.
+    // A worker that is in no owner's list of lease holders has no lease.
     if (!worker) {
       if (EpochOf(placement.run) < this->limits.epoch)
         lost.push_back({place, placement});
@@ -53,8 +54,9 @@
   AddRun(worker, IdOf(job, place), std::move(run));
 }
 
-// What an earlier owner told to stop takes room until it has ended, though no
-// listing shows it: a start was over the room of its worker by that.
+// A run that an earlier owner was stopping uses resources until it ends,
+// although listings do not show it. Ignoring it led to a start beyond the
+// worker's capacity.
 void Scheduler::InheritStops(Job& job, base::Micros now) {
   const auto stopping = job.progress.stopping;
   for (const auto& [key, placement] : stopping) {
