--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -1,11 +1,12 @@
-// What workers tell of jobs that the scheduler does not know yet.
+// Runs and ends that workers list for jobs that the scheduler has not read yet.
 //
-// A new owner reads jobs and progress part by part, then asks the workers. A
-// job that was accepted and placed meanwhile may be known to its worker first.
-// Ends of it that were acknowledged then were forgotten: the job, once known,
-// had a placement whose worker told of no run and no end, and was started
-// again. So what is told of an unknown job is held, its end not acknowledged
-// and its run not stopped, until the job has been read.
+// A new owner reads jobs and progress part by part and then polls the workers.
+// A worker may therefore list a job that was accepted and placed meanwhile
+// before the owner has read it. If its end were acknowledged then, the worker
+// would discard it: the job, once read, would have a placement for which the
+// worker lists neither a run nor an end, and would be started a second time. So
+// ends of an unknown job are not acknowledged, and its runs not stopped, until
+// the job has been read.
 
 #include <algorithm>
 #include <utility>
@@ -38,14 +39,14 @@
   run.is_confirmed = true;
   run.percent = listed.percent;
   AddRun(worker, listed.task, std::move(run));
-  // It runs, so it has a lease, whoever granted it.
+  // A listed run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.longest_grant);
   this->Unknown(listed.task.job)
       .runs.emplace_back(worker.info.life, listed.task);
 }
 
-// The job has become known: what was held of it is taken now.
+// Applies the ends and runs that were held back until the job was known.
 void Scheduler::MeetJob(Job& job, base::Micros now) {
   const auto found = this->unknown_jobs.find(job.id);
   if (found == this->unknown_jobs.end())
@@ -88,7 +89,7 @@
   }
 }
 
-// The end may be acknowledged once this change of its job is saved.
+// Allows the end to be acknowledged once this change of its job is saved.
 void Scheduler::ReleaseEnd(const jobs::WorkerLife& id,
                            const ListedEnd& end,
                            std::uint64_t change) {
