--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -1,4 +1,4 @@
-// Workers that start again under the id that they had.
+// Tests of workers that restart under the same id.
 
 #include <rapidcheck.h>
 #include <boost/test/unit_test.hpp>
@@ -33,7 +33,7 @@
   return step;
 }
 
-// Jobs of one or two steps, and of lasting tasks.
+// Generates jobs of one or two steps, some of them with lasting tasks.
 std::vector<ModelJob> DrawJobs(int count) {
   std::vector<ModelJob> jobs;
   for (int i = 0; i < count; ++i) {
@@ -68,7 +68,8 @@
   return job.spec.steps.back().lasting;
 }
 
-// A drawn day of workers that start again, and a calm time after it.
+// Runs the model for 25 s with generated faults and worker restarts, then for
+// 45 s without faults.
 std::unique_ptr<SchedulerModel> RunRestartingWorkers(
     const std::vector<ModelJob>& jobs) {
   const auto odds = [](int most_per_mille) {
@@ -97,7 +98,8 @@
 
 }  // namespace
 
-// Guards against ends of a worker's next life that pass for ends already read.
+// Each life numbers its ends from 1. Guards against skipping ends of the next
+// life as already read because their numbers are lower.
 BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
@@ -115,7 +117,8 @@
                               .how = RunEnd::kDone}}});
   bench.Save(Only<SaveProgress>(bench.Turn()));
   bench.Turn();
-  // It starts again, numbers its ends from 1 and hears no older number.
+  // The worker restarts, numbers its ends from 1 again, and must not receive an
+  // acknowledgement for the earlier life.
   scheduler::WorkerInfo next = Bench::Worker("w");
   next.life.born_ms = kNextBorn;
   bench.scheduler.PutWorker(next, bench.now);
@@ -138,8 +141,9 @@
               jobs::JobState::kCompleted);
 }
 
-// Guards against a number that a life not known yet hears, and takes for its
-// own ends: a start that nothing tells the life of may be there.
+// Guards against an acknowledgement that reaches a later life, which would take
+// it for its own ends and discard them. While a start is not confirmed by a
+// listing, a later life may have received it.
 BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
@@ -159,7 +163,7 @@
   BOOST_REQUIRE(next.task == FirstTask("next"));
   bench.scheduler.Granted(next.worker, bench.now + milliseconds(2500));
   bench.scheduler.Started(next, scheduler::OrderOutcome::kDone, bench.now);
-  // The look that was under way tells nothing of the start.
+  // The poll in flight does not show the start yet.
   bench.List("w", {});
   const auto before = Only<LookAt>(bench.Turn());
   BOOST_REQUIRE(before.size() == 1U);
@@ -170,8 +174,8 @@
   BOOST_TEST(after[0].acknowledged == 1);
 }
 
-// Guards against a late start that the next life carries out, since it does not
-// know that the run was stopped.
+// Guards against a late start that the next life carries out because it does
+// not know that the run was stopped.
 BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
@@ -197,8 +201,8 @@
   BOOST_TEST(stops[0].run == start.run);
 }
 
-// Guards against repeats when workers keep their id and lose all else, at any
-// point between a call and its answer.
+// Guards against tasks that run twice when workers restart under the same id,
+// without their state, at any point between a call and its answer.
 BOOST_AUTO_TEST_CASE(EndsOfWorkersThatKeepTheirIdAreNotLost) {
   const bool holds = rc::check("tasks on restarting workers run once", [] {
     const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 7));
@@ -215,7 +219,7 @@
   BOOST_TEST(holds);
 }
 
-// Guards against lasting tasks that are given up for losses that were none.
+// Guards against giving up lasting tasks for worker losses that did not happen.
 BOOST_AUTO_TEST_CASE(LastingTasksOutliveRestartsOfTheirWorkers) {
   const bool holds = rc::check("lasting tasks run on", [] {
     const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 7));
