--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -1,4 +1,4 @@
-// Ends and runs of jobs that the scheduler does not know yet.
+// Tests of ends and runs that workers list for jobs not read yet.
 
 #include <string>
 #include <vector>
@@ -25,7 +25,7 @@
                                 .percent = 40}},
                    .ended = {}});
   bench.AddJob("next");
-  // It may be a job that has just been handed in: it is asked for first.
+  // The job may have just been accepted, so it is read from the store first.
   const std::vector<Action> before = bench.Turn();
   BOOST_TEST(Only<SaveProgress>(before).empty());
   BOOST_TEST(Only<StopRun>(before).empty());
@@ -45,8 +45,8 @@
   BOOST_TEST(Only<SaveProgress>(bench.Turn()).size() == 1U);
 }
 
-// Guards against a start over the room of a worker that runs tasks of two jobs
-// that are not known, once the first of them is.
+// Guards against a start beyond a worker's capacity when the worker runs tasks
+// of two unknown jobs and only the first of them has become known.
 BOOST_AUTO_TEST_CASE(RunsOfSeveralUnknownJobsLeaveNoRoomUntilAllAreKnown) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
@@ -64,8 +64,9 @@
              2000);
 }
 
-// Its worker tells of it before the store does: forgotten there, it would be
-// started again.
+// A worker can list the end of a job before the job is read from the store. If
+// the end were acknowledged then, the worker would discard it and the task
+// would be started again.
 BOOST_AUTO_TEST_CASE(EndOfAJobThatIsNotKnownYetIsHeldUntilItIs) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
