--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -1,4 +1,4 @@
-// How a job that ends before its tasks takes them along.
+// Tests of stopping the tasks of a job that failed or was cancelled.
 
 #include <string>
 #include <vector>
@@ -18,13 +18,12 @@
 using testing::Only;
 using Bench = testing::SchedulerBench;
 
-// An owner that had been replaced ended a job and stopped its other task at
-// once, a moment before its record of that end was refused. The next owner had
-// just listed the worker, which shows no run that is being stopped, took the
-// task for free and started it there again beside the first:
-//   118.82 owner 1: job0: given up
-//   119.04 w4 starts job0 0.1 run 1002   (run 3 is being stopped there)
-// So the stops wait until the record of the end stands.
+// Guards against a task that runs twice because a replaced owner stops it. The
+// owner failed the job and stopped its other task just before the write of that
+// failure was refused. The next owner had just listed the worker, whose listing
+// omits runs that are being stopped, took the task for unplaced and started it
+// on the same worker 0.2 s later, beside the first run. So stops wait until the
+// failure is saved.
 BOOST_AUTO_TEST_CASE(FailedJobStopsItsTasksOnceThatIsRecorded) {
   Bench bench(1);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
@@ -66,7 +65,8 @@
   BOOST_TEST(stops[0].task.index == 1);
 }
 
-// A cancel stands in the store before its owner hears of it.
+// A cancellation is in the store before the owner learns of it, so the stops
+// need not wait for a save.
 BOOST_AUTO_TEST_CASE(CancelledJobStopsItsTasksAtOnce) {
   Bench bench(1);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
