--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -98,9 +98,9 @@
     this->TaskFailed(job, place, end.run, worker, now);
   else if (failed)
     RecordFailedWorker(task, worker);
-  const auto by = this->workers.find(worker);
-  if ((done || failed) && by != this->workers.end())
-    this->JudgeWorker(by->second, failed, now);
+  const auto reporter = this->workers.find(worker);
+  if ((done || failed) && reporter != this->workers.end())
+    this->JudgeWorker(reporter->second, failed, now);
   this->TaskLost(end.task, end.run, now);
 }
 
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -237,7 +237,7 @@
   std::set<jobs::TaskId> listed;
   for (const ListedRun& run : listing.running)
     listed.insert(run.task);
-  std::vector<std::pair<jobs::TaskId, Run>> over;
+  std::vector<std::pair<jobs::TaskId, Run>> missing;
   for (auto& [task, run] : worker.runs) {
     if (listed.contains(task))
       continue;
@@ -257,9 +257,9 @@
     if (run.missing_since == base::Micros::zero())
       run.missing_since = worker.poll_sent_at;
     else if (worker.poll_sent_at > run.missing_since + this->limits.stop_time)
-      over.emplace_back(task, run);
+      missing.emplace_back(task, run);
   }
-  for (const auto& [task, run] : over) {
+  for (const auto& [task, run] : missing) {
     RemoveRun(worker, task);
     Job* job = this->FindJob(task.job);
     if (run.possible_loss && job && Exists(*job, PlaceOf(task)))
@@ -461,15 +461,16 @@
 void Scheduler::DueStops(base::Micros now) {
   for (auto& [id, worker] : this->workers) {
     for (auto& [task, run] : worker.runs) {
-      const bool unanswered = run.state == RunState::kStopping &&
-                              run.stop_answered_at == base::Micros::zero();
+      const bool stop_unanswered = run.state == RunState::kStopping &&
+                                   run.stop_answered_at == base::Micros::zero();
       // A lasting task may be at work by now while others of its step are
       // away, so it is stopped only after a listing that does not show it.
       const bool may_work =
           run.lasting && worker.listing_requested_at <= run.start_unsettled_at;
-      const bool open = run.state == RunState::kUnsettled && !may_work &&
-                        run.stop_answered_at == base::Micros::zero();
-      if ((!unanswered && !open) || now < run.stop_sent_at + kStopRetryDelay)
+      const bool start_open = run.state == RunState::kUnsettled && !may_work &&
+                              run.stop_answered_at == base::Micros::zero();
+      if ((!stop_unanswered && !start_open) ||
+          now < run.stop_sent_at + kStopRetryDelay)
         continue;
       run.stop_sent_at = now;
       this->actions.emplace_back(
@@ -481,17 +482,17 @@
 // Workers stop their runs when the lease expires, so the runs of an
 // unresponsive worker are over by then.
 void Scheduler::ExpireLeases(base::Micros now) {
-  std::vector<jobs::WorkerLife> forgotten;
+  std::vector<jobs::WorkerLife> dropped;
   for (auto& [id, worker] : this->workers) {
-    const bool over = now > worker.latest_lease_end + kLeaseExpirySlack;
-    if (!over)
+    const bool is_expired = now > worker.latest_lease_end + kLeaseExpirySlack;
+    if (!is_expired)
       continue;
     // A planned run has no lease yet; the next listing or answer decides on it.
-    const bool only_plans = std::all_of(
+    const bool has_only_plans = std::all_of(
         worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
           return entry.second.state == RunState::kPlanned;
         });
-    if (only_plans && worker.failed_calls == 0)
+    if (has_only_plans && worker.failed_calls == 0)
       continue;
     for (const auto& [task, run] : worker.runs) {
       Job* job = this->FindJob(task.job);
@@ -501,11 +502,11 @@
     worker.runs_presumed_over = worker.runs_presumed_over || !worker.idle();
     this->DropRuns(worker, LossSign::kSilence, now);
     if (!worker.is_announced && worker.failed_calls >= kFailedCallsUntilDropped)
-      forgotten.push_back(id);
+      dropped.push_back(id);
   }
-  for (const jobs::WorkerLife& id : forgotten)
+  for (const jobs::WorkerLife& id : dropped)
     this->workers.erase(id);
-  this->worker_change_count += forgotten.size();
+  this->worker_change_count += dropped.size();
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -47,7 +47,7 @@
 
 // Guards against a start beyond a worker's capacity when the worker runs tasks
 // of two unknown jobs and only the first of them has become known.
-BOOST_AUTO_TEST_CASE(RunsOfSeveralUnknownJobsLeaveNoRoomUntilAllAreKnown) {
+BOOST_AUTO_TEST_CASE(WorkerHasNoFreeCapacityUntilAllItsJobsAreKnown) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
   bench.List("w",
@@ -97,7 +97,7 @@
   BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 1);
 }
 
-BOOST_AUTO_TEST_CASE(RunOfAJobThatIsNotKnownYetIsItsRun) {
+BOOST_AUTO_TEST_CASE(RunOfAnUnknownJobIsAdoptedOnceTheJobIsKnown) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {.clock_ms = 0,
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -38,9 +38,9 @@
 
 Worker* Scheduler::HolderOf(const jobs::WorkerLife& life) {
   Worker* current = this->CurrentLife(life.id);
-  const bool holds = current && (current->info.life == life ||
-                                 current->info.life.IsAfter(life));
-  return holds ? current : nullptr;
+  const bool is_holder = current && (current->info.life == life ||
+                                     current->info.life.IsAfter(life));
+  return is_holder ? current : nullptr;
 }
 
 bool Scheduler::IsKnownToBeOver(const jobs::WorkerLife& life) const {
@@ -111,7 +111,7 @@
 Worker& Scheduler::Restarted(Worker& earlier,
                              const WorkerInfo& info,
                              base::Micros now) {
-  const jobs::WorkerLife over = earlier.info.life;
+  const jobs::WorkerLife ended_life = earlier.info.life;
   std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses = this->LossesUnder(earlier, runs, LossSign::kRestarted);
   // 1. Create the next life.
@@ -122,20 +122,20 @@
   next.next_poll_at = now;
   // 2. Move runs that it may have started.
   WorkerRestarted restarted{.worker = info.life,
-                            .earlier_born_ms = over.born_ms,
+                            .earlier_born_ms = ended_life.born_ms,
                             .ends_read = earlier.last_processed_end};
   for (auto it = runs.begin(); it != runs.end();) {
-    const bool may_be_there =
+    const bool may_be_started =
         !it->second.is_confirmed && it->second.state != RunState::kPlanned;
-    if (!may_be_there) {
+    if (!may_be_started) {
       ++it;
       continue;
     }
     const auto loss = losses.find(it->first);
-    std::optional<PossibleLoss> possible;
+    std::optional<PossibleLoss> possible_loss;
     if (loss != losses.end())
-      possible = {.life = over, .loss = loss->second};
-    this->MoveRun(next, it->first, std::move(it->second), possible);
+      possible_loss = {.life = ended_life, .loss = loss->second};
+    this->MoveRun(next, it->first, std::move(it->second), possible_loss);
     it = runs.erase(it);
     ++restarted.moved_runs;
   }
@@ -156,7 +156,7 @@
   // 3. All other runs are lost.
   if (!runs.empty())
     this->LoseRuns(earlier, runs, losses, LossSign::kRestarted, now);
-  this->LifeIsOver(over, LossSign::kRestarted, now);
+  this->LifeIsOver(ended_life, LossSign::kRestarted, now);
   this->fleet.BoxSeen(info.box, info.life, info.service, now);
   return next;
 }
@@ -214,10 +214,10 @@
 void Scheduler::LifeIsOver(const jobs::WorkerLife& life,
                            LossSign sign,
                            base::Micros now) {
-  const jobs::WorkerLife over = life;
-  std::int64_t& latest = this->ended_lives[over.id];
-  latest = std::max(latest, over.born_ms);
-  this->WorkerDied(over, sign, now);
+  const jobs::WorkerLife ended_life = life;
+  std::int64_t& latest = this->ended_lives[ended_life.id];
+  latest = std::max(latest, ended_life.born_ms);
+  this->WorkerDied(ended_life, sign, now);
 }
 
 void Scheduler::DropRuns(Worker& worker, LossSign sign, base::Micros now) {
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -34,7 +34,7 @@
 }
 
 // Generates jobs of one or two steps, some of them with lasting tasks.
-std::vector<ModelJob> DrawJobs(int count) {
+std::vector<ModelJob> GenerateJobs(int count) {
   std::vector<ModelJob> jobs;
   for (int i = 0; i < count; ++i) {
     ModelJob job;
@@ -57,7 +57,7 @@
   return jobs;
 }
 
-std::string Joined(const std::vector<std::string>& lines) {
+std::string JoinLines(const std::vector<std::string>& lines) {
   std::string text;
   for (const std::string& line : lines)
     text += line + "\n";
@@ -70,29 +70,29 @@
 
 // Runs the model for 25 s with generated faults and worker restarts, then for
 // 45 s without faults.
-std::unique_ptr<SchedulerModel> RunRestartingWorkers(
+std::unique_ptr<SchedulerModel> RunModelWithRestarts(
     const std::vector<ModelJob>& jobs) {
-  const auto odds = [](int most_per_mille) {
+  const auto probability = [](int most_per_mille) {
     return *rc::gen::inRange(0, most_per_mille) / 1000.0;
   };
   ModelFaults faults;
   faults.restart = *rc::gen::inRange(100, 2000) / 1000.0;
-  faults.failing_run = odds(300);
-  faults.lost_answer = odds(100);
-  faults.lost_order = odds(100);
-  faults.late_order = odds(100);
-  faults.lost_save = odds(200);
-  faults.late_save = odds(100);
-  faults.cut = odds(300);
-  faults.takeover = odds(200);
-  faults.freeze = odds(100);
+  faults.failing_run = probability(300);
+  faults.lost_answer = probability(100);
+  faults.lost_order = probability(100);
+  faults.late_order = probability(100);
+  faults.lost_save = probability(200);
+  faults.late_save = probability(100);
+  faults.cut = probability(300);
+  faults.takeover = probability(200);
+  faults.freeze = probability(100);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   auto model = std::make_unique<SchedulerModel>(seed, faults,
                                                 *rc::gen::inRange(2, 6), jobs);
   model->RunFor(seconds(25));
   model->Heal();
   model->RunFor(seconds(45));
-  RC_LOG() << Joined(model->broken()) << model->History();
+  RC_LOG() << JoinLines(model->broken()) << model->History();
   return model;
 }
 
@@ -205,8 +205,8 @@
 // without their state, at any point between a call and its answer.
 BOOST_AUTO_TEST_CASE(EndsOfWorkersThatKeepTheirIdAreNotLost) {
   const bool holds = rc::check("tasks on restarting workers run once", [] {
-    const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 7));
-    const auto model = RunRestartingWorkers(jobs);
+    const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
+    const auto model = RunModelWithRestarts(jobs);
     RC_ASSERT(model->broken().empty());
     for (const ModelJob& job : jobs) {
       RC_LOG() << job.id << " is "
@@ -220,10 +220,10 @@
 }
 
 // Guards against giving up lasting tasks for worker losses that did not happen.
-BOOST_AUTO_TEST_CASE(LastingTasksOutliveRestartsOfTheirWorkers) {
+BOOST_AUTO_TEST_CASE(LastingTasksSurviveWorkerRestarts) {
   const bool holds = rc::check("lasting tasks run on", [] {
-    const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 7));
-    const auto model = RunRestartingWorkers(jobs);
+    const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
+    const auto model = RunModelWithRestarts(jobs);
     for (const ModelJob& job : jobs) {
       if (!IsLasting(job))
         continue;
