--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -32,9 +32,10 @@
 // listings. Uses the time at which the listing was requested, since an owner
 // that was paused may read an old listing late.
 base::Micros ConfirmedRunTime(const Run& run, const Worker& worker) {
-  if (run.answered == base::Micros::zero())
+  if (run.start_answered_at == base::Micros::zero())
     return {};
-  return std::max(worker.listed_sent - run.answered, base::Micros::zero());
+  return std::max(worker.listing_requested_at - run.start_answered_at,
+                  base::Micros::zero());
 }
 
 // True if the worker reported the run. A run placed by an earlier owner counts
@@ -44,7 +45,7 @@
                  const TaskPlace& place,
                  const Worker& worker,
                  const Run& run) {
-  if (run.answered > base::Micros::zero())
+  if (run.start_answered_at > base::Micros::zero())
     return true;
   const auto known = job.progress.losses.find(KeyOf(place));
   const bool is_recorded = known != job.progress.losses.end() &&
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -1,4 +1,4 @@
-// How runs end, and what follows for their tasks, jobs and workers.
+// Handling of ended runs: the results for their tasks, jobs and workers.
 
 #include <algorithm>
 
@@ -12,32 +12,34 @@
 
 using std::chrono::milliseconds;
 
-// Moving average of failed ends; the weight of one more. About the last five
-// count: a worker that fails everything is found after two or three ends.
+// Weight of one more end in the moving average of failures. About the last five
+// ends count, so a worker that fails every run is detected after two or three.
 constexpr double kFailureWeight = 0.25;
-// Above this share of failures a worker gets nothing for a while. The few tasks
-// that fail anywhere stay below it.
-constexpr double kFailureLimit = 0.4;
-constexpr base::Micros kQuarantine = std::chrono::seconds(4);
-// After it, one failure more puts the worker back.
-constexpr double kFailureAfterQuarantine = 0.3;
-// A run whose percent has not changed for so long stands still: tasks take 0.8
+// From this failure rate on, a worker is quarantined. The few tasks that fail
+// on any worker stay below it.
+constexpr double kMaxFailureRate = 0.4;
+constexpr base::Micros kQuarantineTime = std::chrono::seconds(4);
+// Failure rate after a quarantine, at which one more failure starts another.
+constexpr double kFailureRateAfterQuarantine = 0.3;
+// A run whose percent has not changed for this long has stalled. Tasks take 0.8
 // to 5 s, and even at an eighth of its speed a task of 5 s makes 3% in this
 // time.
-constexpr base::Micros kStallTime = milliseconds(1800);
-// A run crawls if what is left takes so many times what a run takes elsewhere.
-constexpr int kSlowTimes = 2;
+constexpr base::Micros kStallTimeout = milliseconds(1800);
+// A run is slow if it has taken, and its remaining work will take, more than
+// this many times the expected run time (for the remainder, plus kSlowSlack).
+constexpr int kSlowFactor = 2;
 constexpr base::Micros kSlowSlack = milliseconds(500);
-// How long a worker that crawls is passed over for others.
-constexpr base::Micros kSlowFor = std::chrono::seconds(4);
-// A task is taken off a worker so often at most: it may be the task.
-constexpr int kMostMoves = 2;
-// How many workers on which a task failed are remembered.
-constexpr std::size_t kFailedOn = 4;
+// How long other workers are preferred to a worker that had a slow run.
+constexpr base::Micros kSlowWorkerPenalty = std::chrono::seconds(4);
+// Maximum moves of a task off its worker, since the task itself may be the
+// cause.
+constexpr int kMaxMoves = 2;
+// Number of workers kept in a task's list of those on which it failed.
+constexpr std::size_t kMaxFailedWorkers = 4;
 
-void RememberFailure(Task& task, const jobs::WorkerLife& worker) {
+void RecordFailedWorker(Task& task, const jobs::WorkerLife& worker) {
   task.failed_on.push_back(worker);
-  if (task.failed_on.size() > kFailedOn)
+  if (task.failed_on.size() > kMaxFailedWorkers)
     task.failed_on.erase(task.failed_on.begin());
 }
 
@@ -46,25 +48,25 @@
 void Scheduler::TakeEnd(Worker& worker,
                         const ListedEnd& end,
                         base::Micros now) {
-  // 1. The run's room is free.
+  // 1. Free the run's resources.
   const auto run = worker.runs.find(end.task);
-  const bool is_ours =
+  const bool is_current_run =
       run != worker.runs.end() && run->second.number == end.run;
-  if (is_ours) {
+  if (is_current_run) {
     const Run ended = run->second;
     RemoveRun(worker, end.task);
     Job* job = this->FindJob(end.task.job);
     if (job && !ended.lasting) {
       JobStory& story = job->story;
-      story.longest_run = std::max(story.longest_run, now - ended.since);
+      story.longest_run = std::max(story.longest_run, now - ended.decided_at);
     }
     if (job && end.how == RunEnd::kDone && !ended.adopted && !ended.lasting) {
       const jobs::Step& step = StepOf(*job, PlaceOf(end.task));
       this->run_times.Learn(step.image.empty() ? job->queue.name : step.image,
-                            now - ended.since);
+                            now - ended.decided_at);
     }
   }
-  // 2. The task's fate.
+  // 2. Apply the result to the task.
   Job* job = this->FindJob(end.task.job);
   if (!job) {
     this->HoldEnd(worker, end);
@@ -73,7 +75,7 @@
   if (!Exists(*job, PlaceOf(end.task)))
     return;
   this->TakeFate(*job, worker.info.life, end, now);
-  // 3. It is acknowledged once the job's row holds it.
+  // 3. Acknowledge the end once the job's row records it.
   worker.pending_ends.push_back(
       {.number = end.number, .job = job->id, .change = job->change});
 }
@@ -95,10 +97,10 @@
   else if (failed && !lasting)
     this->TaskFailed(job, place, end.run, worker, now);
   else if (failed)
-    RememberFailure(task, worker);
-  const auto by = this->workers.find(worker);
-  if ((done || failed) && by != this->workers.end())
-    this->JudgeWorker(by->second, failed, now);
+    RecordFailedWorker(task, worker);
+  const auto reporter = this->workers.find(worker);
+  if ((done || failed) && reporter != this->workers.end())
+    this->JudgeWorker(reporter->second, failed, now);
   this->TaskLost(end.task, end.run, now);
 }
 
@@ -106,17 +108,18 @@
   const jobs::StepKey key{.occurrence = place.occurrence, .step = place.step};
   const jobs::Step& step = StepOf(job, place);
   StepRuns& runs = StepAt(job, place);
-  // One such end of a gang's member stands for all.
+  // The completion of one gang member completes all of them.
   const int first = step.gang ? 0 : place.index;
   const int last =
       step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
-  bool is_news = false;
+  bool has_changed = false;
   for (int i = first; i <= last; ++i) {
     Task& task = runs.tasks[static_cast<std::size_t>(i)];
     if (task.state == TaskState::kDone)
       continue;
-    is_news = true;
-    // An earlier run, beyond a cut, was done while another had begun.
+    has_changed = true;
+    // An earlier run completed behind a network partition after another run of
+    // the task had started.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
       const TaskPlace member{
@@ -130,7 +133,7 @@
     ++runs.done;
     job.progress.MarkDone(key, i);
   }
-  if (!is_news || job.finished())
+  if (!has_changed || job.finished())
     return;
   this->Changed(job);
   if (AllDone(job))
@@ -146,8 +149,8 @@
                            base::Micros now) {
   const jobs::Step& step = StepOf(job, place);
   Task& task = TaskAt(job, place);
-  RememberFailure(task, worker);
-  // A gang fails as one: its first task stands for it.
+  RecordFailedWorker(task, worker);
+  // A gang fails as a whole; failures are counted on its first task.
   const jobs::TaskKey key{
       .step = {.occurrence = place.occurrence, .step = place.step},
       .index = step.gang ? 0 : place.index};
@@ -192,7 +195,7 @@
     this->Enqueue(*job, place, now);
     return;
   }
-  // A gang is placed again as a whole, once no member is anywhere.
+  // A gang is placed again as a whole, once none of its members is placed.
   StepRuns& runs = StepAt(*job, place);
   bool any_placed = false;
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
@@ -217,44 +220,43 @@
 void Scheduler::JudgeWorker(Worker& worker, bool failed, base::Micros now) {
   worker.failure_rate +=
       kFailureWeight * ((failed ? 1.0 : 0.0) - worker.failure_rate);
-  if (!failed || worker.failure_rate < kFailureLimit)
+  if (!failed || worker.failure_rate < kMaxFailureRate)
     return;
-  worker.quarantined_until = now + kQuarantine;
-  this->actions.emplace_back(
-      Note{worker.info.life.id,
-           fmt::format("fails {:.0f}% of its runs: nothing is "
-                       "placed for {:.0f} s",
-                       worker.failure_rate * 100, base::Seconds(kQuarantine))});
-  worker.failure_rate = kFailureAfterQuarantine;
+  worker.quarantined_until = now + kQuarantineTime;
+  this->actions.emplace_back(Note{
+      worker.info.life.id,
+      fmt::format("failed {:.0f}% of its recent runs; "
+                  "placing nothing on it for {:.0f} s",
+                  worker.failure_rate * 100, base::Seconds(kQuarantineTime))});
+  worker.failure_rate = kFailureRateAfterQuarantine;
 }
 
-// Runs that stand still, or crawl, start anew elsewhere: what they have saved
-// goes with them.
+// Restarts stalled and slow runs on other workers, from their checkpoints.
 void Scheduler::MoveOffBadWorker(Worker& worker, base::Micros now) {
   std::vector<jobs::TaskId> stalled;
   std::vector<jobs::TaskId> slow;
   for (const auto& [id, run] : worker.runs) {
     const Job* job = this->FindJob(id.job);
-    const bool unseen = run.progressed == base::Micros::zero();
+    const bool unseen = run.progress_changed_at == base::Micros::zero();
     if (run.state != RunState::kRunning || unseen || run.pace < 100 || !job ||
         !Exists(*job, PlaceOf(id)) || StepOf(*job, PlaceOf(id)).gang)
       continue;
-    if (run.percent < 100 && now - run.progressed > kStallTime)
+    if (run.percent < 100 && now - run.progress_changed_at > kStallTimeout)
       stalled.push_back(id);
     else if (this->IsCrawling(*job, id, run, now))
       slow.push_back(id);
   }
   for (const jobs::TaskId& id : stalled) {
     this->JudgeWorker(worker, true, now);
-    this->MoveOff(worker, id, "stands still", now);
+    this->MoveOff(worker, id, "has stalled", now);
   }
   for (const jobs::TaskId& id : slow) {
-    worker.slow_until = now + kSlowFor;
+    worker.slow_until = now + kSlowWorkerPenalty;
     this->MoveOff(worker, id, "crawls", now);
   }
 }
 
-// Is the run so slow that it would end sooner if it began anew elsewhere?
+// Whether the run is so slow that it would end sooner if restarted elsewhere.
 bool Scheduler::IsCrawling(const Job& job,
                            const jobs::TaskId& id,
                            const Run& run,
@@ -264,11 +266,11 @@
     return false;
   const base::Micros expected = this->run_times.Expect(
       step.image.empty() ? job.queue.name : step.image, base::Micros::zero());
-  const base::Micros elapsed = now - run.since;
-  if (expected <= base::Micros::zero() || elapsed < kSlowTimes * expected)
+  const base::Micros elapsed = now - run.decided_at;
+  if (expected <= base::Micros::zero() || elapsed < kSlowFactor * expected)
     return false;
   const base::Micros left = elapsed * (100 - run.percent) / run.percent;
-  return left > kSlowTimes * expected + kSlowSlack;
+  return left > kSlowFactor * expected + kSlowSlack;
 }
 
 void Scheduler::MoveOff(Worker& worker,
@@ -277,31 +279,31 @@
                         base::Micros now) {
   Job* job = this->FindJob(id.job);
   Task& task = TaskAt(*job, PlaceOf(id));
-  if (task.moved >= kMostMoves)
+  if (task.moved >= kMaxMoves)
     return;
   ++task.moved;
-  RememberFailure(task, worker.info.life);
+  RecordFailedWorker(task, worker.info.life);
   this->actions.emplace_back(Note{
       id.job,
-      fmt::format("task {}.{}.{} {} on {}: it starts elsewhere", id.occurrence,
+      fmt::format("task {}.{}.{} {} on {}; restarting elsewhere", id.occurrence,
                   id.step, id.index, why, worker.info.life.id)});
   this->Stop(worker, id, now);
 }
 
-// Ends are recorded in the order of their numbers, since the worker is told
-// one number up to which it may forget.
+// Advances the last recorded end. Ends count as recorded in the order of their
+// numbers, because the worker discards all ends up to the acknowledged number.
 void Scheduler::Acknowledge(Worker& worker) {
   while (!worker.pending_ends.empty()) {
     const PendingEnd& end = worker.pending_ends.front();
-    if (end.is_held)
+    if (end.awaits_job)
       return;
     const Job* job = this->FindJob(end.job);
     if (job && job->saved_change < end.change)
       return;
-    worker.acknowledged = end.number;
+    worker.last_recorded_end = end.number;
     worker.pending_ends.pop_front();
   }
-  worker.acknowledged = worker.processed;
+  worker.last_recorded_end = worker.last_processed_end;
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/inheritance.cc
+++ b/scheduler/inheritance.cc
@@ -1,4 +1,5 @@
-// What an earlier owner had placed, or was stopping, as a job's row tells it.
+// Takeover of placements and stops that an earlier owner recorded in a job's
+// row.
 
 #include <utility>
 #include <vector>
@@ -7,8 +8,8 @@
 
 namespace quartzhoist::scheduler {
 
-// What an earlier owner placed stays placed until its worker has been listed,
-// or its lease is over.
+// A placement of an earlier owner is kept until its worker has been listed or
+// the worker's lease has expired.
 void Scheduler::InheritRuns(Job& job, base::Micros now) {
   std::vector<std::pair<TaskPlace, jobs::Placement>> lost;
   for (const auto& [key, placement] : job.progress.placed) {
@@ -24,13 +25,13 @@
       continue;
     task.newest_run = std::max(task.newest_run, placement.run);
     Worker* worker = this->HolderOf(placement.worker);
-    // A worker that no owner has in its list has no lease any more.
+    // A worker that is in no owner's list of lease holders has no lease.
     if (!worker) {
       if (EpochOf(placement.run) < this->limits.epoch)
         lost.push_back({place, placement});
       continue;
     }
-    if (worker->listed)
+    if (worker->has_listing)
       continue;
     task.state = TaskState::kPlaced;
     task.run = placement.run;
@@ -48,13 +49,14 @@
                            Worker& worker,
                            base::Micros now) {
   Run run = this->RunOf(job, StepOf(job, place), number, RunState::kInherited);
-  run.since = now;
+  run.decided_at = now;
   run.adopted = true;
   AddRun(worker, IdOf(job, place), std::move(run));
 }
 
-// What an earlier owner told to stop takes room until it has ended, though no
-// listing shows it: a start was over the room of its worker by that.
+// A run that an earlier owner was stopping uses resources until it ends,
+// although listings do not show it. Ignoring it led to a start beyond the
+// worker's capacity.
 void Scheduler::InheritStops(Job& job, base::Micros now) {
   const auto stopping = job.progress.stopping;
   for (const auto& [key, placement] : stopping) {
@@ -66,7 +68,7 @@
         Exists(job, place) && worker && worker->runs.contains(IdOf(job, place));
     if (is_known)
       continue;
-    const bool may_run = Exists(job, place) && worker && !worker->listed;
+    const bool may_run = Exists(job, place) && worker && !worker->has_listing;
     if (may_run) {
       this->InheritRun(job, place, placement.run, *worker, now);
     } else {
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -1,4 +1,5 @@
-// What workers say of themselves, and what their silence means.
+// Handling of workers' listings, of answers to starts and stops, and of lease
+// expiry for workers that do not answer.
 
 #include <algorithm>
 #include <set>
@@ -15,26 +16,28 @@
 
 using std::chrono::milliseconds;
 
-// After ends were listed the next look waits a little, so that it brings more
-// than one: each look costs like a probe.
-constexpr base::Micros kPauseAfterEnds = milliseconds(200);
-// A worker that did not answer is asked again after this, times the failures
-// in a row, up to the second.
-constexpr base::Micros kLookAgain = milliseconds(250);
-constexpr base::Micros kLookAgainMost = milliseconds(1000);
-// So many starts in a row without an answer, and the worker gets nothing for a
-// while. Where a third of all answers is lost it does so now and then.
-constexpr int kStartsUntilRest = 3;
-constexpr base::Micros kRest = std::chrono::seconds(4);
-// An order without an answer: a look, then a stop, are sent this soon again.
-constexpr base::Micros kStopAgain = milliseconds(600);
-// A look that is to settle a stop leaves this long after the stop's time.
-constexpr base::Micros kStopSlack = milliseconds(20);
-// Slack for clocks and timers when a lease is taken as over.
-constexpr base::Micros kLeaseSlack = milliseconds(200);
-// A worker whose announcement is gone and that does not answer either is
-// forgotten once its lease is over.
-constexpr int kCallsUntilSilent = 2;
+// Delay of the next poll after ends were listed, so that it returns several
+// ends at once. Each poll costs as much as a probe.
+constexpr base::Micros kPollDelayAfterEnds = milliseconds(200);
+// A poll that failed is repeated after kPollRetryDelay times the number of
+// failures in a row, at most kMaxPollRetryDelay. A worker that refused a
+// start for lack of room or an expired lease gets nothing for kPollRetryDelay.
+constexpr base::Micros kPollRetryDelay = milliseconds(250);
+constexpr base::Micros kMaxPollRetryDelay = milliseconds(1000);
+// After this many unanswered starts in a row nothing is placed on the worker
+// for kUnansweredStartsQuarantine. Where a third of all answers is lost, this
+// happens now and then.
+constexpr int kMaxUnansweredStarts = 3;
+constexpr base::Micros kUnansweredStartsQuarantine = std::chrono::seconds(4);
+// A stop without an answer is sent again after this.
+constexpr base::Micros kStopRetryDelay = milliseconds(600);
+// The poll that settles a stop is sent this long after the stop's time limit.
+constexpr base::Micros kStopPollSlack = milliseconds(20);
+// Tolerance for clocks and timers before a lease is treated as expired.
+constexpr base::Micros kLeaseExpirySlack = milliseconds(200);
+// A worker whose announcement was removed and that failed this many calls is
+// dropped once its lease has expired.
+constexpr int kFailedCallsUntilDropped = 2;
 
 }  // namespace
 
@@ -45,60 +48,67 @@
   if (!answered)
     return;
   Worker& worker = *answered;
-  // 1. It answers: its clock is known, and its lease renewed.
-  worker.look_in_flight = false;
-  worker.leased_until = std::max(worker.leased_until, worker.look_grant);
-  worker.told = std::max(worker.told, worker.look_acknowledged);
-  worker.is_in_doubt = false;
+  // 1. Record the answer: clock reading, renewed lease, acknowledged ends.
+  worker.poll_in_flight = false;
+  worker.earliest_lease_end =
+      std::max(worker.earliest_lease_end, worker.poll_lease_end);
+  worker.last_acknowledged_end =
+      std::max(worker.last_acknowledged_end, worker.poll_acknowledged_end);
+  worker.may_have_restarted = false;
   if (worker.failed_calls > 0)
     this->actions.emplace_back(Note{worker.info.life.id, "answers again"});
-  if (!worker.listed) {
+  if (!worker.has_listing) {
     ++this->worker_change_count;
     this->fleet.BoxAnswered(worker.info.box);
-    // From now on it refuses every earlier owner's grant: lasting tasks of one
-    // that died 3 s after a takeover had waited for 7 s more.
-    if (!worker.has_foreign_lease)
-      worker.lease_end =
-          std::min(worker.lease_end, now + this->limits.longest_grant);
+    // From now on the worker refuses grants of earlier owners. Without this
+    // bound the lasting tasks of a worker that died 3 s after a takeover waited
+    // another 7 s.
+    if (!worker.may_hold_earlier_lease)
+      worker.latest_lease_end =
+          std::min(worker.latest_lease_end, now + this->limits.longest_grant);
   }
-  worker.listed = true;
+  worker.has_listing = true;
   worker.failed_calls = 0;
   worker.runs_presumed_over = false;
-  worker.last_answer = now;
-  worker.listed_sent = worker.look_sent;
+  worker.last_answer_at = now;
+  worker.listing_requested_at = worker.poll_sent_at;
   worker.clock_ms = listing.clock_ms;
-  worker.clock_read = now;
+  worker.clock_read_at = now;
   this->SettleLosses(worker, now);
-  // 2. Ends before runs: a task that ended may be listed as running again.
-  bool has_news = false;
+  // 2. Ends go before runs: a task that ended may run there again.
+  bool has_new_ends = false;
   for (const ListedEnd& end : listing.ended) {
-    if (end.number <= worker.processed) {
+    if (end.number <= worker.last_processed_end) {
       this->NoteSkippedEnd(worker, end);
       continue;
     }
     this->TakeEnd(worker, end, now);
-    worker.processed = end.number;
-    has_news = true;
+    worker.last_processed_end = end.number;
+    has_new_ends = true;
   }
-  // 3. What runs there.
+  // 3. Listed runs.
   for (const ListedRun& run : listing.running)
     this->TakeRunning(worker, run, now);
-  // 4. What should, and is not listed.
+  // 4. Expected runs that are not listed.
   this->SettleMissing(worker, listing, now);
   this->MoveOffBadWorker(worker, now);
   this->PaceFillers(worker);
   this->Acknowledge(worker);
-  // Ends that it may not be told of yet are listed again at once.
-  const bool repeats = worker.acknowledged > worker.told;
-  worker.next_look = has_news || repeats ? now + kPauseAfterEnds : now;
+  // Ends that were not acknowledged yet are listed again at once.
+  const bool has_unacknowledged_ends =
+      worker.last_recorded_end > worker.last_acknowledged_end;
+  worker.next_poll_at =
+      has_new_ends || has_unacknowledged_ends ? now + kPollDelayAfterEnds : now;
 }
 
 void Scheduler::NoteSkippedEnd(const Worker& worker, const ListedEnd& end) {
   const auto run = worker.runs.find(end.task);
   if (run == worker.runs.end() || run->second.number != end.run)
     return;
-  this->actions.emplace_back(EndSkipped{
-      .worker = worker.info.life, .end = end, .ends_read = worker.processed});
+  this->actions.emplace_back(
+      EndSkipped{.worker = worker.info.life,
+                 .end = end,
+                 .ends_read = worker.last_processed_end});
 }
 
 void Scheduler::TakeRunning(Worker& worker,
@@ -106,7 +116,7 @@
                             base::Micros now) {
   const auto found = worker.runs.find(listed.task);
   if (found == worker.runs.end() || found->second.number != listed.run) {
-    // An older run beside a newer one on the same worker is only ended.
+    // An older run beside a newer one of the same task is only stopped.
     if (found != worker.runs.end()) {
       this->actions.emplace_back(StopRun{
           .worker = worker.info.life, .task = listed.task, .run = listed.run});
@@ -119,13 +129,14 @@
   if (run.state == RunState::kStarting || run.state == RunState::kUnsettled ||
       run.state == RunState::kInherited)
     run.state = RunState::kRunning;
-  if (run.answered == base::Micros::zero())
-    run.answered = now;
+  if (run.start_answered_at == base::Micros::zero())
+    run.start_answered_at = now;
   run.missing_since = {};
-  run.is_seen = true;
+  run.is_confirmed = true;
   run.possible_loss.reset();
-  if (run.percent != listed.percent || run.progressed == base::Micros::zero())
-    run.progressed = now;
+  if (run.percent != listed.percent ||
+      run.progress_changed_at == base::Micros::zero())
+    run.progress_changed_at = now;
   run.percent = listed.percent;
   run.load = listed.load;
   this->WatchSuspect(worker, listed.task, run);
@@ -136,26 +147,27 @@
   Task& task = TaskAt(*job, PlaceOf(listed.task));
   if (!listed.checkpoint.empty())
     task.checkpoint = listed.checkpoint;
-  // One that is being stopped is away, whatever an older listing says.
+  // A run that is being stopped does not count as at work, even if an older
+  // listing shows it at 100%.
   task.at_work = listed.percent >= 100 && run.state == RunState::kRunning;
-  // An earlier owner's run of a job, or a task, that was over by then.
+  // The run may be an earlier owner's, of a job or task that is over by now.
   if (job->end_stands() || task.state == TaskState::kDone)
     this->Stop(worker, listed.task, now);
 }
 
-// A run that this owner did not start: an earlier owner's, or an order that was
-// given up and carried out late.
+// Takes in a run that this owner does not expect: it was started by an earlier
+// owner, or by a start that got no answer and was carried out late.
 void Scheduler::AdoptRun(Worker& worker,
                          const ListedRun& listed,
                          base::Micros now) {
   Job* job = this->FindJob(listed.task.job);
   Run run{.number = listed.run, .state = RunState::kRunning};
-  run.since = now;
-  run.answered = now;
+  run.decided_at = now;
+  run.start_answered_at = now;
   run.adopted = true;
-  run.is_seen = true;
+  run.is_confirmed = true;
   run.percent = listed.percent;
-  run.progressed = now;
+  run.progress_changed_at = now;
   run.load = listed.load;
   if (!job) {
     this->HoldRun(worker, listed, now);
@@ -164,25 +176,25 @@
   const bool known = Exists(*job, PlaceOf(listed.task));
   if (known) {
     const jobs::Step& step = StepOf(*job, PlaceOf(listed.task));
-    run.takes = step.each;
-    run.counts = step.each;
-    run.counted = &this->quotas.UseOf(job->organisation);
+    run.reserved = step.each;
+    run.quota_usage = step.each;
+    run.organisation_usage = &this->quotas.UseOf(job->organisation);
     run.lasting = step.lasting;
     run.fills = step.fills;
     run.image = step.image;
     run.target_ms = step.target_ms;
     if (step.fills)
-      run.takes.cpu_millis = 0;
+      run.reserved.cpu_millis = 0;
   }
-  // No task of the job: what it takes is not known.
-  run.is_held = !known;
+  // Without a matching task of the job the resource usage is unknown.
+  run.has_unknown_resources = !known;
   AddRun(worker, listed.task, run);
-  // It runs, so it has a lease, whoever granted it.
-  worker.lease_end =
-      std::max(worker.lease_end, now + this->limits.longest_grant);
+  // A listed run implies a lease, whoever granted it.
+  worker.latest_lease_end =
+      std::max(worker.latest_lease_end, now + this->limits.longest_grant);
   if (known) {
     Task& task = TaskAt(*job, PlaceOf(listed.task));
-    // What runs goes before what is only planned.
+    // An actual run takes precedence over a placement that is only planned.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
       const auto plan = other->second.runs.find(listed.task);
@@ -211,11 +223,11 @@
     if (job->unsaved_end > 0)
       return;
   }
-  this->actions.emplace_back(
-      Note{listed.task.job,
-           fmt::format("run {} of {}.{}.{} on {} is not wanted: stopped",
-                       listed.run, listed.task.occurrence, listed.task.step,
-                       listed.task.index, worker.info.life.id)});
+  this->actions.emplace_back(Note{
+      listed.task.job,
+      fmt::format("stopping run {} of task {}.{}.{} on {}: it is not needed",
+                  listed.run, listed.task.occurrence, listed.task.step,
+                  listed.task.index, worker.info.life.id)});
   this->Stop(worker, listed.task, now);
 }
 
@@ -225,27 +237,29 @@
   std::set<jobs::TaskId> listed;
   for (const ListedRun& run : listing.running)
     listed.insert(run.task);
-  std::vector<std::pair<jobs::TaskId, Run>> over;
+  std::vector<std::pair<jobs::TaskId, Run>> missing;
   for (auto& [task, run] : worker.runs) {
     if (listed.contains(task))
       continue;
-    // The listing may be older than the order's answer. Under this owner's
-    // epoch no earlier owner's order can follow.
-    const bool start_settled =
-        run.state == RunState::kRunning && run.answered < worker.look_sent;
-    const bool stop_settled = run.stop_answered > base::Micros::zero() &&
-                              run.stop_answered < worker.look_sent;
+    // The listing may be older than the answer to the start or stop. An
+    // inherited run cannot be started later, since the worker now refuses
+    // earlier epochs.
+    const bool start_settled = run.state == RunState::kRunning &&
+                               run.start_answered_at < worker.poll_sent_at;
+    const bool stop_settled = run.stop_answered_at > base::Micros::zero() &&
+                              run.stop_answered_at < worker.poll_sent_at;
     const bool inherited = run.state == RunState::kInherited;
     if (!start_settled && !stop_settled && !inherited)
       continue;
-    // What is being stopped, by whatever order, keeps its room until its end is
-    // listed; one that was never there has no end.
+    // A run that is being stopped keeps its resources until its end is listed.
+    // A run that never started has no end, so it is dropped once it has been
+    // missing for longer than a stop can take.
     if (run.missing_since == base::Micros::zero())
-      run.missing_since = worker.look_sent;
-    else if (worker.look_sent > run.missing_since + this->limits.stop_time)
-      over.emplace_back(task, run);
+      run.missing_since = worker.poll_sent_at;
+    else if (worker.poll_sent_at > run.missing_since + this->limits.stop_time)
+      missing.emplace_back(task, run);
   }
-  for (const auto& [task, run] : over) {
+  for (const auto& [task, run] : missing) {
     RemoveRun(worker, task);
     Job* job = this->FindJob(task.job);
     if (run.possible_loss && job && Exists(*job, PlaceOf(task)))
@@ -255,8 +269,8 @@
   }
 }
 
-// What a call's outcome says of the worker and of this ownership. The worker,
-// or null if it is not known or its life is over.
+// Applies what a call's outcome tells about the worker and about this
+// ownership. Returns null if the life is not known or over.
 Worker* Scheduler::TakeOutcome(const jobs::WorkerLife& life,
                                OrderOutcome outcome,
                                base::Micros now) {
@@ -279,7 +293,7 @@
   if (!found)
     return;
   Worker& worker = *found;
-  worker.look_in_flight = false;
+  worker.poll_in_flight = false;
   if (outcome == OrderOutcome::kFenced)
     return;
   if (++worker.failed_calls == 1) {
@@ -287,8 +301,8 @@
         Note{life.id, fmt::format("does not answer ({})",
                                   base::NameOf(kOrderOutcomeNames, outcome))});
   }
-  worker.next_look =
-      now + std::min(kLookAgain * worker.failed_calls, kLookAgainMost);
+  worker.next_poll_at =
+      now + std::min(kPollRetryDelay * worker.failed_calls, kMaxPollRetryDelay);
 }
 
 void Scheduler::Started(const StartRun& order,
@@ -296,12 +310,13 @@
                         base::Micros now,
                         std::int64_t clock_ms) {
   Worker* found = this->HolderOf(order.worker);
-  // Another life answered: this one has not started it.
+  // Another life answered, so this one has not started the run.
   if (outcome == OrderOutcome::kOtherLife && found) {
     RemoveRun(*found, order.task);
     this->TaskLost(order.task, order.run, now);
   }
-  // Else the run is a later life's by now, which the answer says nothing of.
+  // Otherwise the run has moved to a later life, and the answer tells nothing
+  // about that one.
   if (!found || found->info.life == order.worker)
     found = this->TakeOutcome(order.worker, outcome, now);
   if (!found)
@@ -313,12 +328,12 @@
   Run& run = entry->second;
   Job* job = this->FindJob(order.task.job);
   if (worker.info.life != order.worker)
-    worker.lease_end =
-        std::max(worker.lease_end, now + this->limits.longest_lease);
+    worker.latest_lease_end =
+        std::max(worker.latest_lease_end, now + this->limits.longest_lease);
   if (outcome == OrderOutcome::kDone) {
-    run.answered = now;
+    run.start_answered_at = now;
     this->NoteClock(worker, order, run, clock_ms, now);
-    worker.unanswered_starts = 0;
+    worker.consecutive_unanswered_starts = 0;
     if (job)
       job->begun = true;
     if (run.state == RunState::kStarting)
@@ -328,14 +343,14 @@
   if (outcome == OrderOutcome::kUnknown) {
     if (run.state == RunState::kStarting)
       run.state = RunState::kUnsettled;
-    run.unsettled = now;
-    NoteUnanswered(worker,
-                   {.task = order.task, .run = order.run, .given_up = now});
+    run.start_unsettled_at = now;
+    RecordUnansweredStart(
+        worker, {.task = order.task, .run = order.run, .given_up_at = now});
     ++worker.failed_calls;
     this->RestIfStartsAreLost(worker, now);
     return;
   }
-  // It has not been carried out: the room is free, the task to be placed.
+  // The start was not carried out: free the resources and place the task again.
   RemoveRun(worker, order.task);
   if (job && Exists(*job, PlaceOf(order.task)))
     this->TakeBackLastTry(*job, PlaceOf(order.task), order.run);
@@ -348,11 +363,12 @@
     StepAt(*job, PlaceOf(order.task)).advice.tickets.erase(order.worker);
   if (outcome == OrderOutcome::kNoRoom || outcome == OrderOutcome::kLate)
     worker.quarantined_until =
-        std::max(worker.quarantined_until, now + kLookAgain);
+        std::max(worker.quarantined_until, now + kPollRetryDelay);
   this->TaskLost(order.task, order.run, now);
 }
 
-// Whether the life that was listed has answered the start.
+// Confirms the run if the answer's clock shows that the listed life, rather
+// than a later one, answered the start.
 void Scheduler::NoteClock(Worker& worker,
                           const StartRun& order,
                           Run& run,
@@ -363,24 +379,26 @@
   worker.failed_calls = 0;
   if (clock_ms <= 0)
     return;
-  run.is_seen = MayBeClockOf(worker, clock_ms, run.since);
-  if (run.is_seen)
+  run.is_confirmed = IsClockConsistent(worker, clock_ms, run.decided_at);
+  if (run.is_confirmed)
     return;
-  worker.is_in_doubt = true;
-  worker.next_look = std::min(worker.next_look, now);
+  worker.may_have_restarted = true;
+  worker.next_poll_at = std::min(worker.next_poll_at, now);
 }
 
-// A worker that answers looks and no starts would take task after task.
+// Without this limit, a worker that answers polls but no starts would be given
+// task after task.
 void Scheduler::RestIfStartsAreLost(Worker& worker, base::Micros now) {
-  if (++worker.unanswered_starts < kStartsUntilRest)
+  if (++worker.consecutive_unanswered_starts < kMaxUnansweredStarts)
     return;
-  worker.unanswered_starts = 0;
-  worker.quarantined_until = now + kRest;
-  this->actions.emplace_back(Note{
-      worker.info.life.id,
-      fmt::format("leaves {} starts in a row unanswered: nothing is placed "
-                  "for {:.0f} s",
-                  kStartsUntilRest, base::Seconds(kRest))});
+  worker.consecutive_unanswered_starts = 0;
+  worker.quarantined_until = now + kUnansweredStartsQuarantine;
+  this->actions.emplace_back(
+      Note{worker.info.life.id,
+           fmt::format("did not answer {} starts in a row; placing nothing "
+                       "on it for {:.0f} s",
+                       kMaxUnansweredStarts,
+                       base::Seconds(kUnansweredStartsQuarantine))});
 }
 
 bool Scheduler::StillWanted(const StartRun& order) const {
@@ -401,7 +419,7 @@
   Run& run = found->second;
   if (run.state == RunState::kStopping)
     return;
-  // Its worker has not been told.
+  // No start has been sent for it.
   if (run.state == RunState::kPlanned) {
     const int number = run.number;
     RemoveRun(worker, task);
@@ -409,9 +427,10 @@
     return;
   }
   run.state = RunState::kStopping;
-  run.stop_sent = now;
-  // An answer to an earlier stop, of a start that was open, says nothing now.
-  run.stop_answered = {};
+  run.stop_sent_at = now;
+  // An earlier stop was sent for a start with an open outcome; its answer does
+  // not settle this stop.
+  run.stop_answered_at = {};
   this->actions.emplace_back(
       StopRun{.worker = worker.info.life, .task = task, .run = run.number});
 }
@@ -430,46 +449,50 @@
       outcome == OrderOutcome::kDone || outcome == OrderOutcome::kOld;
   if (!settled)
     return;
-  run->second.stop_answered = now;
-  // Its end is listed within the stop's time.
-  if (!worker.look_in_flight)
-    worker.next_look =
-        std::min(worker.next_look, now + this->limits.stop_time + kStopSlack);
+  run->second.stop_answered_at = now;
+  // The end is listed within the time limit of a stop.
+  if (!worker.poll_in_flight)
+    worker.next_poll_at = std::min(
+        worker.next_poll_at, now + this->limits.stop_time + kStopPollSlack);
 }
 
-// Stops that got no answer, and starts whose fate is open.
+// Sends stops again that were not answered, and stops runs whose start got no
+// answer.
 void Scheduler::DueStops(base::Micros now) {
   for (auto& [id, worker] : this->workers) {
     for (auto& [task, run] : worker.runs) {
-      const bool unanswered = run.state == RunState::kStopping &&
-                              run.stop_answered == base::Micros::zero();
-      // A lasting task may be at work by now, and others of its step away: a
-      // listing that does not show it comes first.
-      const bool may_work = run.lasting && worker.listed_sent <= run.unsettled;
-      const bool open = run.state == RunState::kUnsettled && !may_work &&
-                        run.stop_answered == base::Micros::zero();
-      if ((!unanswered && !open) || now < run.stop_sent + kStopAgain)
+      const bool stop_unanswered = run.state == RunState::kStopping &&
+                                   run.stop_answered_at == base::Micros::zero();
+      // A lasting task may be at work by now while others of its step are
+      // away, so it is stopped only after a listing that does not show it.
+      const bool may_work =
+          run.lasting && worker.listing_requested_at <= run.start_unsettled_at;
+      const bool start_open = run.state == RunState::kUnsettled && !may_work &&
+                              run.stop_answered_at == base::Micros::zero();
+      if ((!stop_unanswered && !start_open) ||
+          now < run.stop_sent_at + kStopRetryDelay)
         continue;
-      run.stop_sent = now;
+      run.stop_sent_at = now;
       this->actions.emplace_back(
           StopRun{.worker = id, .task = task, .run = run.number});
     }
   }
 }
 
-// Nothing runs beyond a lease: what is on a silent worker is over then.
+// Workers stop their runs when the lease expires, so the runs of an
+// unresponsive worker are over by then.
 void Scheduler::ExpireLeases(base::Micros now) {
-  std::vector<jobs::WorkerLife> forgotten;
+  std::vector<jobs::WorkerLife> dropped;
   for (auto& [id, worker] : this->workers) {
-    const bool over = now > worker.lease_end + kLeaseSlack;
-    if (!over)
+    const bool is_expired = now > worker.latest_lease_end + kLeaseExpirySlack;
+    if (!is_expired)
       continue;
-    // A plan has no lease yet: the next listing or answer decides on it.
-    const bool only_plans = std::all_of(
+    // A planned run has no lease yet; the next listing or answer decides on it.
+    const bool has_only_plans = std::all_of(
         worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
           return entry.second.state == RunState::kPlanned;
         });
-    if (only_plans && worker.failed_calls == 0)
+    if (has_only_plans && worker.failed_calls == 0)
       continue;
     for (const auto& [task, run] : worker.runs) {
       Job* job = this->FindJob(task.job);
@@ -478,12 +501,12 @@
     }
     worker.runs_presumed_over = worker.runs_presumed_over || !worker.idle();
     this->DropRuns(worker, LossSign::kSilence, now);
-    if (!worker.announced && worker.failed_calls >= kCallsUntilSilent)
-      forgotten.push_back(id);
+    if (!worker.is_announced && worker.failed_calls >= kFailedCallsUntilDropped)
+      dropped.push_back(id);
   }
-  for (const jobs::WorkerLife& id : forgotten)
+  for (const jobs::WorkerLife& id : dropped)
     this->workers.erase(id);
-  this->worker_change_count += forgotten.size();
+  this->worker_change_count += dropped.size();
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -1,4 +1,4 @@
-// Ends and runs of jobs that the scheduler does not know yet.
+// Tests of ends and runs that workers list for jobs not read yet.
 
 #include <string>
 #include <vector>
@@ -25,7 +25,7 @@
                                 .percent = 40}},
                    .ended = {}});
   bench.AddJob("next");
-  // It may be a job that has just been handed in: it is asked for first.
+  // The job may have just been accepted, so it is read from the store first.
   const std::vector<Action> before = bench.Turn();
   BOOST_TEST(Only<SaveProgress>(before).empty());
   BOOST_TEST(Only<StopRun>(before).empty());
@@ -45,9 +45,9 @@
   BOOST_TEST(Only<SaveProgress>(bench.Turn()).size() == 1U);
 }
 
-// Guards against a start over the room of a worker that runs tasks of two jobs
-// that are not known, once the first of them is.
-BOOST_AUTO_TEST_CASE(RunsOfSeveralUnknownJobsLeaveNoRoomUntilAllAreKnown) {
+// Guards against a start beyond a worker's capacity when the worker runs tasks
+// of two unknown jobs and only the first of them has become known.
+BOOST_AUTO_TEST_CASE(WorkerHasNoFreeCapacityUntilAllItsJobsAreKnown) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
   bench.List("w",
@@ -60,11 +60,13 @@
   for (const SaveProgress& save : Only<SaveProgress>(bench.Turn()))
     BOOST_TEST(save.job != "next");
   bench.AddJob("second");
-  BOOST_TEST(bench.scheduler.FindWorker("w")->room().cpu_millis == 2000);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->free_capacity().cpu_millis ==
+             2000);
 }
 
-// Its worker tells of it before the store does: forgotten there, it would be
-// started again.
+// A worker can list the end of a job before the job is read from the store. If
+// the end were acknowledged then, the worker would discard it and the task
+// would be started again.
 BOOST_AUTO_TEST_CASE(EndOfAJobThatIsNotKnownYetIsHeldUntilItIs) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
@@ -77,11 +79,11 @@
                                    .checkpoint = ""}}};
   bench.List("w", listing);
   bench.Turn();
-  BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 0);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 0);
   bench.AddJob("late");
   const std::vector<Action> actions = bench.Turn();
   BOOST_TEST(Only<StartRun>(actions).empty());
-  BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 0);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 0);
   const auto saves = Only<SaveProgress>(actions);
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_CHECK(jobs::DecodeProgress(saves[0].text)->state ==
@@ -92,10 +94,10 @@
                          .version = 2},
                         bench.now);
   bench.Turn();
-  BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 1);
+  BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 1);
 }
 
-BOOST_AUTO_TEST_CASE(RunOfAJobThatIsNotKnownYetIsItsRun) {
+BOOST_AUTO_TEST_CASE(RunOfAnUnknownJobIsAdoptedOnceTheJobIsKnown) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {.clock_ms = 0,
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -1,9 +1,9 @@
-// Lives of workers: which of them is the one to speak to, and what becomes of
-// a life's runs when a later one follows it under the same id.
+// Lives of workers: which life of a worker id is the current one, and what
+// happens to the runs of a life when the worker restarts under the same id.
 //
-// A start that was meant for one life may have been begun by the next, which
-// answers under the same id. So what a life has not been heard to have moves to
-// the next one, whose listing settles it; all else ended with its life.
+// A start sent to one life may have been carried out by the next, which answers
+// under the same id. So runs that a life has not confirmed move to the next
+// life, whose listing settles them. All other runs ended with their life.
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
 
 namespace quartzhoist::scheduler {
 
-// --- Which life ---
+// --- Lookup ---
 
 Worker* Scheduler::FindLife(const jobs::WorkerLife& life) {
   const auto found = this->workers.find(life);
@@ -26,21 +26,21 @@
 
 const Worker* Scheduler::FindWorker(const std::string& id) const {
   const auto found = this->workers.lower_bound({.id = id});
-  const bool is_it = found != this->workers.end() && found->first.id == id;
-  return is_it ? &found->second : nullptr;
+  const bool is_match = found != this->workers.end() && found->first.id == id;
+  return is_match ? &found->second : nullptr;
 }
 
 Worker* Scheduler::CurrentLife(const std::string& id) {
   const auto found = this->workers.lower_bound({.id = id});
-  const bool is_it = found != this->workers.end() && found->first.id == id;
-  return is_it ? &found->second : nullptr;
+  const bool is_match = found != this->workers.end() && found->first.id == id;
+  return is_match ? &found->second : nullptr;
 }
 
 Worker* Scheduler::HolderOf(const jobs::WorkerLife& life) {
   Worker* current = this->CurrentLife(life.id);
-  const bool holds = current && (current->info.life == life ||
-                                 current->info.life.IsAfter(life));
-  return holds ? current : nullptr;
+  const bool is_holder = current && (current->info.life == life ||
+                                     current->info.life.IsAfter(life));
+  return is_holder ? current : nullptr;
 }
 
 bool Scheduler::IsKnownToBeOver(const jobs::WorkerLife& life) const {
@@ -48,12 +48,12 @@
   return ended != this->ended_lives.end() && life.born_ms <= ended->second;
 }
 
-// --- Lives that come ---
+// --- New lives ---
 
 void Scheduler::PutWorker(const WorkerInfo& announced, base::Micros now) {
   WorkerInfo info = announced;
   Worker* known = this->CurrentLife(info.life.id);
-  // One without a start is of the life that is there.
+  // An announcement without a start time belongs to the known life.
   if (known && info.life.born_ms == 0)
     info.life = known->info.life;
   const bool is_earlier = known && known->info.life.IsAfter(info.life);
@@ -64,15 +64,16 @@
   if (!known) {
     known = &this->workers[info.life];
     ++this->worker_change_count;
-    known->next_look = now;
+    known->next_poll_at = now;
     this->fleet.BoxSeen(info.box, info.life, info.service, now);
   }
   const bool had_drained = known->info.draining;
   known->info = info;
-  known->announced = true;
+  known->is_announced = true;
   known->is_described = true;
   if (info.draining && !had_drained)
-    this->actions.emplace_back(Note{info.life.id, "drains: nothing is placed"});
+    this->actions.emplace_back(
+        Note{info.life.id, "is draining; placing nothing on it"});
 }
 
 void Scheduler::InheritWorker(const WorkerInfo& info, base::Micros lease_end) {
@@ -80,13 +81,14 @@
   if (!worker) {
     worker = &this->workers[info.life];
     worker->info = info;
-    worker->announced = false;
+    worker->is_announced = false;
   }
-  worker->lease_end = std::max(worker->lease_end, lease_end);
+  worker->latest_lease_end = std::max(worker->latest_lease_end, lease_end);
   ++this->worker_change_count;
 }
 
-// The life whose answer it is; null if that says nothing of one that is known.
+// The life that the answer is from; null if it is from an earlier life, or the
+// asked life is not known.
 Worker* Scheduler::LifeThatAnswered(const jobs::WorkerLife& asked,
                                     const jobs::WorkerLife& answered,
                                     base::Micros now) {
@@ -94,8 +96,8 @@
   if (!worker || answered == asked || answered.born_ms == 0)
     return worker;
   if (asked.IsAfter(answered)) {
-    worker->look_in_flight = false;
-    worker->next_look = now;
+    worker->poll_in_flight = false;
+    worker->next_poll_at = now;
     return nullptr;
   }
   WorkerInfo info = worker->info;
@@ -105,55 +107,56 @@
   return &next;
 }
 
-// `earlier` is gone when this returns.
+// Replaces `earlier` by the life in `info`; `earlier` is invalid afterwards.
 Worker& Scheduler::Restarted(Worker& earlier,
                              const WorkerInfo& info,
                              base::Micros now) {
-  const jobs::WorkerLife over = earlier.info.life;
-  std::map<jobs::TaskId, Run> runs = TakeRuns(earlier);
+  const jobs::WorkerLife ended_life = earlier.info.life;
+  std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses = this->LossesUnder(earlier, runs, LossSign::kRestarted);
-  // 1. The next life, under the same lease as far as that is known.
+  // 1. Create the next life.
   Worker& next = this->workers[info.life];
   next.info = info;
-  next.announced = earlier.announced;
-  next.look_sent = earlier.look_sent;
-  next.next_look = now;
-  // 2. What it may have begun.
+  next.is_announced = earlier.is_announced;
+  next.poll_sent_at = earlier.poll_sent_at;
+  next.next_poll_at = now;
+  // 2. Move runs that it may have started.
   WorkerRestarted restarted{.worker = info.life,
-                            .earlier_born_ms = over.born_ms,
-                            .ends_read = earlier.processed};
+                            .earlier_born_ms = ended_life.born_ms,
+                            .ends_read = earlier.last_processed_end};
   for (auto it = runs.begin(); it != runs.end();) {
-    const bool may_be_there =
-        !it->second.is_seen && it->second.state != RunState::kPlanned;
-    if (!may_be_there) {
+    const bool may_be_started =
+        !it->second.is_confirmed && it->second.state != RunState::kPlanned;
+    if (!may_be_started) {
       ++it;
       continue;
     }
     const auto loss = losses.find(it->first);
-    std::optional<PossibleLoss> possible;
+    std::optional<PossibleLoss> possible_loss;
     if (loss != losses.end())
-      possible = {.life = over, .loss = loss->second};
-    this->MoveRun(next, it->first, std::move(it->second), possible);
+      possible_loss = {.life = ended_life, .loss = loss->second};
+    this->MoveRun(next, it->first, std::move(it->second), possible_loss);
     it = runs.erase(it);
     ++restarted.moved_runs;
   }
-  // An order that was meant for the earlier life may have reached this one: its
-  // deadline lies far ahead on a clock that has just begun.
-  next.has_foreign_lease = true;
-  next.lease_end =
-      std::max(earlier.lease_end, now + this->limits.longest_lease);
+  // An order sent to the earlier life may have reached this one. Its lease
+  // deadline then lies far ahead on a clock that has just restarted.
+  next.may_hold_earlier_lease = true;
+  next.latest_lease_end =
+      std::max(earlier.latest_lease_end, now + this->limits.longest_lease);
   this->actions.emplace_back(restarted);
-  // The earlier life refused what had been stopped there; this one does not.
-  for (const UnansweredStart& start : earlier.unanswered) {
+  // The earlier life refuses late starts of runs that were stopped there; the
+  // next one does not know of the stops, so they are sent again.
+  for (const UnansweredStart& start : earlier.recent_unanswered_starts) {
     if (!next.runs.contains(start.task))
       this->actions.emplace_back(
           StopRun{.worker = info.life, .task = start.task, .run = start.run});
   }
-  next.unanswered = std::move(earlier.unanswered);
-  // 3. All else is over.
+  next.recent_unanswered_starts = std::move(earlier.recent_unanswered_starts);
+  // 3. All other runs are lost.
   if (!runs.empty())
     this->LoseRuns(earlier, runs, losses, LossSign::kRestarted, now);
-  this->LifeIsOver(over, LossSign::kRestarted, now);
+  this->LifeIsOver(ended_life, LossSign::kRestarted, now);
   this->fleet.BoxSeen(info.box, info.life, info.service, now);
   return next;
 }
@@ -164,8 +167,8 @@
                         const std::optional<PossibleLoss>& loss) {
   run.possible_loss = loss;
   run.missing_since = {};
-  run.stop_sent = {};
-  run.stop_answered = {};
+  run.stop_sent_at = {};
+  run.stop_answered_at = {};
   Job* job = this->FindJob(id.job);
   if (job && Exists(*job, PlaceOf(id))) {
     Task& task = TaskAt(*job, PlaceOf(id));
@@ -181,16 +184,16 @@
   AddRun(next, id, std::move(run));
 }
 
-// --- Lives that go ---
+// --- Ended lives ---
 
 void Scheduler::WorkerUnlisted(const std::string& id, base::Micros now) {
   this->ended_lives.erase(id);
   Worker* worker = this->CurrentLife(id);
   if (!worker)
     return;
-  worker->announced = false;
-  worker->unlisted = now;
-  if (worker->idle() && !worker->look_in_flight)
+  worker->is_announced = false;
+  worker->withdrawn_at = now;
+  if (worker->idle() && !worker->poll_in_flight)
     this->WorkerDied(worker->info.life, LossSign::kLeft, now);
 }
 
@@ -205,21 +208,22 @@
   ++this->worker_change_count;
 }
 
-// A store that has forgotten its history is read anew, rows of ended lives
-// included: such a life on a box in upkeep would pass for the one after it.
+// Remembers the life as over. When the store has discarded its change history,
+// all rows are read again, including announcements of ended lives. Without this
+// record, such a life on a box in upkeep would be taken for its successor.
 void Scheduler::LifeIsOver(const jobs::WorkerLife& life,
                            LossSign sign,
                            base::Micros now) {
-  const jobs::WorkerLife over = life;
-  std::int64_t& latest = this->ended_lives[over.id];
-  latest = std::max(latest, over.born_ms);
-  this->WorkerDied(over, sign, now);
+  const jobs::WorkerLife ended_life = life;
+  std::int64_t& latest = this->ended_lives[ended_life.id];
+  latest = std::max(latest, ended_life.born_ms);
+  this->WorkerDied(ended_life, sign, now);
 }
 
 void Scheduler::DropRuns(Worker& worker, LossSign sign, base::Micros now) {
   if (worker.idle())
     return;
-  const std::map<jobs::TaskId, Run> runs = TakeRuns(worker);
+  const std::map<jobs::TaskId, Run> runs = ExtractRuns(worker);
   this->LoseRuns(worker, runs, this->LossesUnder(worker, runs, sign), sign,
                  now);
 }
@@ -229,17 +233,18 @@
                          const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
                          LossSign sign,
                          base::Micros now) {
-  const bool was_heard = worker.last_answer > base::Micros::zero();
+  const bool was_heard = worker.last_answer_at > base::Micros::zero();
   WorkerLost lost{
       .worker = worker.info.life,
       .box = worker.info.box,
       .sign = sign,
-      .heard_ago = was_heard ? now - worker.last_answer : base::Micros(-1)};
+      .heard_ago = was_heard ? now - worker.last_answer_at : base::Micros(-1)};
   for (const auto& [task, run] : runs) {
-    lost.runs.push_back({.task = task,
-                         .run = run.number,
-                         .age = now - run.since,
-                         .is_answered = run.answered > base::Micros::zero()});
+    lost.runs.push_back(
+        {.task = task,
+         .run = run.number,
+         .age = now - run.decided_at,
+         .is_answered = run.start_answered_at > base::Micros::zero()});
   }
   std::stable_sort(
       lost.runs.begin(), lost.runs.end(),
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -1,4 +1,4 @@
-// Workers that start again under the id that they had.
+// Tests of workers that restart under the same id.
 
 #include <rapidcheck.h>
 #include <boost/test/unit_test.hpp>
@@ -33,8 +33,8 @@
   return step;
 }
 
-// Jobs of one or two steps, and of lasting tasks.
-std::vector<ModelJob> DrawJobs(int count) {
+// Generates jobs of one or two steps, some of them with lasting tasks.
+std::vector<ModelJob> GenerateJobs(int count) {
   std::vector<ModelJob> jobs;
   for (int i = 0; i < count; ++i) {
     ModelJob job;
@@ -57,7 +57,7 @@
   return jobs;
 }
 
-std::string Joined(const std::vector<std::string>& lines) {
+std::string JoinLines(const std::vector<std::string>& lines) {
   std::string text;
   for (const std::string& line : lines)
     text += line + "\n";
@@ -68,36 +68,38 @@
   return job.spec.steps.back().lasting;
 }
 
-// A drawn day of workers that start again, and a calm time after it.
-std::unique_ptr<SchedulerModel> RunRestartingWorkers(
+// Runs the model for 25 s with generated faults and worker restarts, then for
+// 45 s without faults.
+std::unique_ptr<SchedulerModel> RunModelWithRestarts(
     const std::vector<ModelJob>& jobs) {
-  const auto odds = [](int most_per_mille) {
+  const auto probability = [](int most_per_mille) {
     return *rc::gen::inRange(0, most_per_mille) / 1000.0;
   };
   ModelFaults faults;
   faults.restart = *rc::gen::inRange(100, 2000) / 1000.0;
-  faults.failing_run = odds(300);
-  faults.lost_answer = odds(100);
-  faults.lost_order = odds(100);
-  faults.late_order = odds(100);
-  faults.lost_save = odds(200);
-  faults.late_save = odds(100);
-  faults.partition = odds(300);
-  faults.takeover = odds(200);
-  faults.owner_pause = odds(100);
+  faults.failing_run = probability(300);
+  faults.lost_answer = probability(100);
+  faults.lost_order = probability(100);
+  faults.late_order = probability(100);
+  faults.lost_save = probability(200);
+  faults.late_save = probability(100);
+  faults.partition = probability(300);
+  faults.takeover = probability(200);
+  faults.owner_pause = probability(100);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   auto model = std::make_unique<SchedulerModel>(seed, faults,
                                                 *rc::gen::inRange(2, 6), jobs);
   model->RunFor(seconds(25));
   model->Heal();
   model->RunFor(seconds(45));
-  RC_LOG() << Joined(model->violations()) << model->History();
+  RC_LOG() << JoinLines(model->violations()) << model->History();
   return model;
 }
 
 }  // namespace
 
-// Guards against ends of a worker's next life that pass for ends already read.
+// Each life numbers its ends from 1. Guards against skipping ends of the next
+// life as already read because their numbers are lower.
 BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
@@ -115,7 +117,8 @@
                               .how = RunEnd::kDone}}});
   bench.Save(Only<SaveProgress>(bench.Turn()));
   bench.Turn();
-  // It starts again, numbers its ends from 1 and hears no older number.
+  // The worker restarts, numbers its ends from 1 again, and must not receive an
+  // acknowledgement for the earlier life.
   scheduler::WorkerInfo next = Bench::Worker("w");
   next.life.born_ms = kNextBorn;
   bench.scheduler.PutWorker(next, bench.now);
@@ -138,8 +141,9 @@
               jobs::JobState::kCompleted);
 }
 
-// Guards against a number that a life not known yet hears, and takes for its
-// own ends: a start that nothing tells the life of may be there.
+// Guards against an acknowledgement that reaches a later life, which would take
+// it for its own ends and discard them. While a start is not confirmed by a
+// listing, a later life may have received it.
 BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
@@ -159,7 +163,7 @@
   BOOST_REQUIRE(next.task == FirstTask("next"));
   bench.scheduler.Granted(next.worker, bench.now + milliseconds(2500));
   bench.scheduler.Started(next, scheduler::OrderOutcome::kDone, bench.now);
-  // The look that was under way tells nothing of the start.
+  // The poll in flight does not show the start yet.
   bench.List("w", {});
   const auto before = Only<LookAt>(bench.Turn());
   BOOST_REQUIRE(before.size() == 1U);
@@ -170,8 +174,8 @@
   BOOST_TEST(after[0].acknowledged == 1);
 }
 
-// Guards against a late start that the next life carries out, since it does not
-// know that the run was stopped.
+// Guards against a late start that the next life carries out because it does
+// not know that the run was stopped.
 BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
@@ -197,12 +201,12 @@
   BOOST_TEST(stops[0].run == start.run);
 }
 
-// Guards against repeats when workers keep their id and lose all else, at any
-// point between a call and its answer.
+// Guards against tasks that run twice when workers restart under the same id,
+// without their state, at any point between a call and its answer.
 BOOST_AUTO_TEST_CASE(EndsOfWorkersThatKeepTheirIdAreNotLost) {
   const bool holds = rc::check("tasks on restarting workers run once", [] {
-    const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 7));
-    const auto model = RunRestartingWorkers(jobs);
+    const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
+    const auto model = RunModelWithRestarts(jobs);
     RC_ASSERT(model->violations().empty());
     for (const ModelJob& job : jobs) {
       RC_LOG() << job.id << " is "
@@ -215,11 +219,11 @@
   BOOST_TEST(holds);
 }
 
-// Guards against lasting tasks that are given up for losses that were none.
-BOOST_AUTO_TEST_CASE(LastingTasksOutliveRestartsOfTheirWorkers) {
+// Guards against giving up lasting tasks for worker losses that did not happen.
+BOOST_AUTO_TEST_CASE(LastingTasksSurviveWorkerRestarts) {
   const bool holds = rc::check("lasting tasks run on", [] {
-    const std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 7));
-    const auto model = RunRestartingWorkers(jobs);
+    const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
+    const auto model = RunModelWithRestarts(jobs);
     for (const ModelJob& job : jobs) {
       if (!IsLasting(job))
         continue;
