--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -119,7 +119,7 @@
   return waiting.state == TaskState::kReady &&
          waiting.waits_for == WaitReason::kRoom &&
          now - waiting.ready_since > kStuck &&
-         (task.prospect == Prospect::kLasting || has_cores);
+         (task.scheduling_class == SchedulingClass::kLongRunning || has_cores);
 }
 
 // Cores alone do not show that a pool needs a box when its boxes are full of
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -211,48 +211,48 @@
   if (turn.candidates.empty())
     return;
   // 2. Its tasks, by what may still come of them.
-  tasks.Try(now, [&](const ReadyTask& task) {
+  tasks.TryInOrder(now, [&](const ReadyTask& task) {
     return this->TryTask(task, turn, now);
   });
 }
 
 // Equal tasks of a step that fits nowhere are passed over.
-ReadyTasks::Tried Scheduler::TryTask(const ReadyTask& task,
-                                     PoolTurn& turn,
-                                     base::Micros now) {
-  using Tried = ReadyTasks::Tried;
+ReadyTasks::AttemptResult Scheduler::TryTask(const ReadyTask& task,
+                                             PoolTurn& turn,
+                                             base::Micros now) {
+  using AttemptResult = ReadyTasks::AttemptResult;
   if (turn.misses >= kMissesATurn)
-    return Tried::kStop;
+    return AttemptResult::kStop;
   Job& job = *task.job;
   const bool wanted =
       !job.finished() && TaskAt(job, task.place).state == TaskState::kReady;
   if (!wanted)
-    return Tried::kUnwanted;
+    return AttemptResult::kObsolete;
   const auto step = std::make_pair(&job, task.place.step);
   const auto nowhere = turn.nowhere.find(step);
   if (nowhere != turn.nowhere.end()) {
     TaskAt(job, task.place).waits_for = nowhere->second;
-    return Tried::kStays;
+    return AttemptResult::kKept;
   }
   const Suspicion suspicion = this->SuspicionOfStart(job, task.place, now);
   if (suspicion == Suspicion::kCause) {
     this->GiveUpCauses(job, now);
-    return Tried::kUnwanted;
+    return AttemptResult::kObsolete;
   }
   const std::optional<WaitReason> reason =
       this->PlaceOne(task, suspicion, turn.candidates, now);
   if (!reason)
-    return Tried::kPlaced;
+    return AttemptResult::kPlaced;
   TaskAt(job, task.place).waits_for = *reason;
   // What waits for its organisation's quota, or for a worker that runs nothing,
   // holds up nobody else: neither of its step nor of the pool.
   const bool is_its_own =
       *reason == WaitReason::kQuota || *reason == WaitReason::kSuspect;
   if (is_its_own)
-    return Tried::kStays;
+    return AttemptResult::kKept;
   turn.nowhere[step] = *reason;
   ++turn.misses;
-  return Tried::kStays;
+  return AttemptResult::kKept;
 }
 
 // Why it has not been placed; nothing if it has.
--- a/scheduler/ready_tasks.cc
+++ b/scheduler/ready_tasks.cc
@@ -11,27 +11,28 @@
 // A pool counts as overloaded for so long after a job has run out of time
 // unbegun, or of use: longer than a turn of the scheduler, shorter than a
 // height of demand (some seconds on the sites).
-constexpr base::Micros kOverloadLasts = std::chrono::seconds(1);
+constexpr base::Micros kOverloadDuration = std::chrono::seconds(1);
 
-constexpr std::array<Prospect, 6> kInOrder{
-    Prospect::kLasting, Prospect::kBegun,  Prospect::kWaiting,
-    Prospect::kLate,    Prospect::kBeyond, Prospect::kHopeless};
+constexpr std::array<SchedulingClass, 6> kClassOrder{
+    SchedulingClass::kLongRunning, SchedulingClass::kStarted,
+    SchedulingClass::kNotStarted,  SchedulingClass::kLate,
+    SchedulingClass::kOverRate,    SchedulingClass::kExpired};
 
-ReadyTask First(int priority, Prospect prospect) {
+ReadyTask RangeBegin(int priority, SchedulingClass scheduling_class) {
   ReadyTask first;
   first.priority = priority;
-  first.prospect = prospect;
-  first.in_time = base::Micros::min();
-  first.of_use = base::Micros::min();
+  first.scheduling_class = scheduling_class;
+  first.soft_deadline = base::Micros::min();
+  first.firm_deadline = base::Micros::min();
   return first;
 }
 
 // Comes after all tasks of this priority and prospect.
-ReadyTask Behind(int priority, Prospect prospect) {
-  ReadyTask behind = First(priority, prospect);
-  behind.in_time = base::Micros::max();
-  behind.of_use = base::Micros::max();
-  return behind;
+ReadyTask RangeEnd(int priority, SchedulingClass scheduling_class) {
+  ReadyTask end = RangeBegin(priority, scheduling_class);
+  end.soft_deadline = base::Micros::max();
+  end.firm_deadline = base::Micros::max();
+  return end;
 }
 
 }  // namespace
@@ -49,101 +50,113 @@
 // first. Jobs beyond what their organisation is due come after all that others
 // are due: at a height one organisation's flood costs the others nothing, and
 // is served from what they leave.
-void ReadyTasks::Try(
+void ReadyTasks::TryInOrder(
     base::Micros now,
-    const std::function<Tried(const ReadyTask& task)>& attempt) {
+    const std::function<AttemptResult(const ReadyTask& task)>& attempt) {
   // 1. What has run out of time falls behind what has not.
-  this->Age(now);
+  this->Demote(now);
   // 2. By priority, then by prospect.
   auto next = this->tasks.begin();
   while (next != this->tasks.end()) {
     const int priority = next->priority;
-    for (const Prospect prospect : kInOrder) {
-      const bool newest_first = now < this->too_many_until[prospect];
-      if (!this->TryRange(priority, prospect, newest_first, attempt))
+    for (const SchedulingClass scheduling_class : kClassOrder) {
+      const bool newest_first = now < this->overloaded_until[scheduling_class];
+      if (!this->TryInOrderWithin(priority, scheduling_class, newest_first,
+                                  attempt))
         return;
     }
-    next = this->tasks.lower_bound(First(priority + 1, Prospect::kLasting));
+    next = this->tasks.lower_bound(
+        RangeBegin(priority + 1, SchedulingClass::kLongRunning));
   }
 }
 
-void ReadyTasks::Age(base::Micros now) {
+void ReadyTasks::Demote(base::Micros now) {
   auto next = this->tasks.begin();
   while (next != this->tasks.end()) {
     const int priority = next->priority;
-    for (const Prospect prospect : {Prospect::kBegun, Prospect::kWaiting,
-                                    Prospect::kLate, Prospect::kBeyond})
-      this->AgeRange(priority, prospect, now);
-    next = this->tasks.lower_bound(First(priority + 1, Prospect::kLasting));
+    for (const SchedulingClass scheduling_class :
+         {SchedulingClass::kStarted, SchedulingClass::kNotStarted,
+          SchedulingClass::kLate, SchedulingClass::kOverRate})
+      this->DemoteWithin(priority, scheduling_class, now);
+    next = this->tasks.lower_bound(
+        RangeBegin(priority + 1, SchedulingClass::kLongRunning));
   }
 }
 
 // Each range is in the order of its ends: only those that are over are touched.
-void ReadyTasks::AgeRange(int priority, Prospect prospect, base::Micros now) {
-  auto it = this->tasks.lower_bound(First(priority, prospect));
+void ReadyTasks::DemoteWithin(int priority,
+                              SchedulingClass scheduling_class,
+                              base::Micros now) {
+  auto it = this->tasks.lower_bound(RangeBegin(priority, scheduling_class));
   while (it != this->tasks.end() && it->priority == priority &&
-         it->prospect == prospect && it->latest() < now) {
-    ReadyTask aged = *it;
+         it->scheduling_class == scheduling_class && it->deadline() < now) {
+    ReadyTask demoted = *it;
     it = this->tasks.erase(it);
-    if (prospect != Prospect::kBegun)
-      this->too_many_until[prospect] = now + kOverloadLasts;
-    aged.prospect = aged.of_use >= now ? Prospect::kLate : Prospect::kHopeless;
-    this->tasks.insert(aged);
+    if (scheduling_class != SchedulingClass::kStarted)
+      this->overloaded_until[scheduling_class] = now + kOverloadDuration;
+    demoted.scheduling_class = demoted.firm_deadline >= now
+                                   ? SchedulingClass::kLate
+                                   : SchedulingClass::kExpired;
+    this->tasks.insert(demoted);
   }
 }
 
-bool ReadyTasks::TryRange(
+bool ReadyTasks::TryInOrderWithin(
     int priority,
-    Prospect prospect,
+    SchedulingClass scheduling_class,
     bool newest_first,
-    const std::function<Tried(const ReadyTask& task)>& attempt) {
+    const std::function<AttemptResult(const ReadyTask& task)>& attempt) {
   const auto is_inside = [&](Set::const_iterator at) {
     return at != this->tasks.end() && at->priority == priority &&
-           at->prospect == prospect;
+           at->scheduling_class == scheduling_class;
   };
-  std::vector<ReadyTask> begun;
-  Tried tried = Tried::kStays;
+  std::vector<ReadyTask> newly_started;
+  AttemptResult result = AttemptResult::kKept;
   // What is tried lies before `it` with the newest first, at `it` otherwise.
-  auto it = this->tasks.lower_bound(newest_first ? Behind(priority, prospect)
-                                                 : First(priority, prospect));
-  while (tried != Tried::kStop) {
+  auto it = this->tasks.lower_bound(
+      newest_first ? RangeEnd(priority, scheduling_class)
+                   : RangeBegin(priority, scheduling_class));
+  while (result != AttemptResult::kStop) {
     if (newest_first && it == this->tasks.begin())
       break;
     const auto next = newest_first ? std::prev(it) : it;
     if (!is_inside(next))
       break;
-    tried = attempt(*next);
-    const bool leaves = tried == Tried::kPlaced || tried == Tried::kUnwanted;
-    const bool was_unbegun =
-        prospect == Prospect::kWaiting || prospect == Prospect::kBeyond;
-    if (tried == Tried::kPlaced && was_unbegun)
-      begun.push_back(*next);
-    if (leaves)
+    result = attempt(*next);
+    const bool is_removed =
+        result == AttemptResult::kPlaced || result == AttemptResult::kObsolete;
+    const bool was_not_started =
+        scheduling_class == SchedulingClass::kNotStarted ||
+        scheduling_class == SchedulingClass::kOverRate;
+    if (result == AttemptResult::kPlaced && was_not_started)
+      newly_started.push_back(*next);
+    if (is_removed)
       it = this->tasks.erase(next);
     else
       it = newest_first ? next : std::next(next);
   }
-  for (const ReadyTask& placed : begun)
-    this->PutBegun(placed);
-  return tried != Tried::kStop;
+  for (const ReadyTask& placed : newly_started)
+    this->PromoteStartedStep(placed);
+  return result != AttemptResult::kStop;
 }
 
 // The other tasks of its step, which have the same end, come before jobs that
 // have not begun: a job that is half done is worth nothing.
-void ReadyTasks::PutBegun(const ReadyTask& placed) {
+void ReadyTasks::PromoteStartedStep(const ReadyTask& placed) {
   ReadyTask at = placed;
-  at.number = 0;
+  at.sequence = 0;
   auto it = this->tasks.lower_bound(at);
   while (it != this->tasks.end() && it->priority == placed.priority &&
-         it->prospect == placed.prospect && it->latest() == placed.latest()) {
+         it->scheduling_class == placed.scheduling_class &&
+         it->deadline() == placed.deadline()) {
     if (it->job != placed.job) {
       ++it;
       continue;
     }
-    ReadyTask moved = *it;
+    ReadyTask promoted = *it;
     it = this->tasks.erase(it);
-    moved.prospect = Prospect::kBegun;
-    this->tasks.insert(moved);
+    promoted.scheduling_class = SchedulingClass::kStarted;
+    this->tasks.insert(promoted);
   }
 }
 
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -172,13 +172,13 @@
   const bool begun = job.begun || place.step > 0;
   this->ready[job.queue.service].Insert(
       {.priority = job.queue.priority,
-       .prospect = lasting          ? Prospect::kLasting
-                   : begun          ? Prospect::kBegun
-                   : job.beyond_due ? Prospect::kBeyond
-                                    : Prospect::kWaiting,
-       .in_time = lasting ? now : since + objective - left,
-       .of_use = since + kOfUseTimes * objective - left,
-       .number = ++this->ready_number,
+       .scheduling_class = lasting          ? SchedulingClass::kLongRunning
+                           : begun          ? SchedulingClass::kStarted
+                           : job.beyond_due ? SchedulingClass::kOverRate
+                                            : SchedulingClass::kNotStarted,
+       .soft_deadline = lasting ? now : since + objective - left,
+       .firm_deadline = since + kOfUseTimes * objective - left,
+       .sequence = ++this->ready_number,
        .job = &job,
        .place = place});
 }
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -330,9 +330,9 @@
   void PlacePool(const std::string& service,
                  ReadyTasks& tasks,
                  base::Micros now);
-  ReadyTasks::Tried TryTask(const ReadyTask& task,
-                            PoolTurn& turn,
-                            base::Micros now);
+  ReadyTasks::AttemptResult TryTask(const ReadyTask& task,
+                                    PoolTurn& turn,
+                                    base::Micros now);
   std::optional<WaitReason> PlaceOne(const ReadyTask& task,
                                      Suspicion suspicion,
                                      const std::vector<Worker*>& candidates,
