--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -166,7 +166,7 @@
     const jobs::Step& step = StepOf(*job, PlaceOf(listed.task));
     run.takes = step.each;
     run.counts = step.each;
-    run.counted = &this->quotas.UseOf(job->organisation);
+    run.counted = &this->quotas.UsageOf(job->organisation);
     run.lasting = step.lasting;
     run.fills = step.fills;
     run.image = step.image;
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -192,7 +192,7 @@
 }
 
 void Scheduler::Place(base::Micros now) {
-  this->quotas.BeginTurn();
+  this->quotas.ResetRefused();
   for (auto& [service, tasks] : this->ready) {
     if (!tasks.empty())
       this->PlacePool(service, tasks, now);
@@ -392,7 +392,7 @@
   Run run{.number = number, .state = state};
   run.takes = TakenBy(step);
   run.counts = step.each;
-  run.counted = &this->quotas.UseOf(job.organisation);
+  run.counted = &this->quotas.UsageOf(job.organisation);
   run.image = step.image;
   run.lasting = step.lasting;
   run.fills = step.fills;
--- a/scheduler/quotas.cc
+++ b/scheduler/quotas.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::array<std::int64_t jobs::Resources::*, 3> kKinds{
+constexpr std::array<std::int64_t jobs::Resources::*, 3> kResourceTypes{
     &jobs::Resources::cpu_millis, &jobs::Resources::memory_mb,
     &jobs::Resources::gpus};
 
@@ -16,25 +16,27 @@
 }
 
 // So many thousandths of the quota, rounded up, of the scarcest kind.
-int ShareOf(const jobs::Resources& amount, const jobs::Resources& quota) {
-  std::int64_t most = 0;
-  for (const auto kind : kKinds) {
-    if (quota.*kind > 0)
-      most = std::max(
-          most, (amount.*kind * kWholeQuota + quota.*kind - 1) / (quota.*kind));
+int PermilleOf(const jobs::Resources& amount, const jobs::Resources& quota) {
+  std::int64_t permille = 0;
+  for (const auto type : kResourceTypes) {
+    if (quota.*type > 0)
+      permille =
+          std::max(permille, (amount.*type * kWholeQuota + quota.*type - 1) /
+                                 (quota.*type));
   }
-  constexpr std::int64_t kMost = 1'000'000'000;
-  return static_cast<int>(std::min(most, kMost));
+  constexpr std::int64_t kMaxPermille = 1'000'000'000;
+  return static_cast<int>(std::min(permille, kMaxPermille));
 }
 
 // Is the amount within this share of the quota, in every kind?
 bool IsWithin(const jobs::Resources& amount,
               const jobs::Resources& quota,
               int share) {
-  return std::all_of(kKinds.begin(), kKinds.end(), [&](auto kind) {
-    return quota.*kind == 0 ||
-           amount.*kind <= quota.*kind * share / kWholeQuota;
-  });
+  return std::all_of(kResourceTypes.begin(), kResourceTypes.end(),
+                     [&](auto type) {
+                       return quota.*type == 0 ||
+                              amount.*type <= quota.*type * share / kWholeQuota;
+                     });
 }
 
 }  // namespace
@@ -62,20 +64,21 @@
     return true;
   const bool fits =
       IsWithin(account.used + needed, account.quota, account.share);
-  const bool may_pass = account.share > kWholeQuota / 2 &&
-                        ShareOf(account.used, account.quota) < account.share;
-  if (fits || may_pass)
+  const bool may_exceed =
+      account.share > kWholeQuota / 2 &&
+      PermilleOf(account.used, account.quota) < account.share;
+  if (fits || may_exceed)
     return true;
   account.refused = account.refused + needed;
   return false;
 }
 
-void Quotas::BeginTurn() {
+void Quotas::ResetRefused() {
   for (auto& [name, account] : this->accounts)
     account.refused = {};
 }
 
-jobs::Resources& Quotas::UseOf(const std::string& organisation) {
+jobs::Resources& Quotas::UsageOf(const std::string& organisation) {
   return this->accounts[organisation].used;
 }
 
@@ -85,8 +88,8 @@
     if (name.empty() || !IsLimited(account.quota))
       continue;
     needs[name] = {
-        .used = ShareOf(account.used, account.quota),
-        .wanted = ShareOf(account.used + account.refused, account.quota)};
+        .used = PermilleOf(account.used, account.quota),
+        .wanted = PermilleOf(account.used + account.refused, account.quota)};
   }
   return needs;
 }
--- a/scheduler/quotas.h
+++ b/scheduler/quotas.h
@@ -33,10 +33,10 @@
   // May runs that take this begin? What may not is noted as wanted.
   bool Allows(const std::string& organisation, const jobs::Resources& needed);
   // Forgets what was wanted: the tasks that wait are tried anew.
-  void BeginTurn();
+  void ResetRefused();
 
   // Where what the organisation's runs take is counted; it stays in place.
-  jobs::Resources& UseOf(const std::string& organisation);
+  jobs::Resources& UsageOf(const std::string& organisation);
 
   // By organisation, of those with a quota.
   std::map<std::string, QuotaNeed> Needs() const;
--- a/scheduler/quotas_test.cc
+++ b/scheduler/quotas_test.cc
@@ -7,7 +7,7 @@
 namespace quartzhoist::scheduler {
 namespace {
 
-jobs::Organisation Bees(const jobs::Resources& quota) {
+jobs::Organisation BeesWithQuota(const jobs::Resources& quota) {
   return {.name = "bees", .keys = {}, .jobs_a_second = 0, .quota = quota};
 }
 
@@ -15,18 +15,18 @@
 
 // Begins tasks until none may; how many.
 int Fill(Quotas& quotas, const jobs::Resources& task) {
-  int begun = 0;
-  while (begun < 1000 && quotas.Allows("bees", task)) {
-    jobs::Resources& used = quotas.UseOf("bees");
+  int started = 0;
+  while (started < 1000 && quotas.Allows("bees", task)) {
+    jobs::Resources& used = quotas.UsageOf("bees");
     used = used + task;
-    ++begun;
+    ++started;
   }
-  return begun;
+  return started;
 }
 
 BOOST_AUTO_TEST_CASE(ShareOfTheQuotaIsTheLimit) {
   Quotas quotas;
-  quotas.SetOrganisations({Bees({.cpu_millis = 10'000})});
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 10'000})});
   BOOST_TEST(Fill(quotas, kTask) == 0);
   quotas.SetShare("bees", 500);
   BOOST_TEST(Fill(quotas, kTask) == 5);
@@ -35,15 +35,16 @@
   BOOST_TEST(Fill(quotas, kTask) == 3);
   BOOST_TEST(quotas.Needs().at("bees").used == 800);
   // A quota that is cut far below what runs lets nothing begin.
-  quotas.SetOrganisations({Bees({.cpu_millis = 2'000})});
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 2'000})});
   BOOST_TEST(Fill(quotas, kTask) == 0);
   BOOST_TEST(quotas.Needs().at("bees").used == 4000);
 }
 
-BOOST_AUTO_TEST_CASE(EveryKindIsLimitedAndWhoHasNoQuotaIsNot) {
+BOOST_AUTO_TEST_CASE(EveryResourceIsLimitedOnlyByASetQuota) {
   Quotas quotas;
   quotas.SetOrganisations(
-      {Bees({.cpu_millis = 10'000, .memory_mb = 250}), {.name = "free"}});
+      {BeesWithQuota({.cpu_millis = 10'000, .memory_mb = 250}),
+       {.name = "free"}});
   quotas.SetShare("bees", kWholeQuota);
   // One beyond what fits.
   BOOST_TEST(Fill(quotas, kTask) == 3);
@@ -54,7 +55,7 @@
 
 BOOST_AUTO_TEST_CASE(TaskLargerThanTheQuotaRunsAlone) {
   Quotas quotas;
-  quotas.SetOrganisations({Bees({.cpu_millis = 500})});
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 500})});
   quotas.SetShare("bees", 500);
   BOOST_TEST(Fill(quotas, kTask) == 0);
   BOOST_TEST(quotas.Needs().at("bees").wanted >= kWholeQuota);
@@ -62,14 +63,14 @@
   BOOST_TEST(Fill(quotas, kTask) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsRefusedIsWantedUntilTheNextTurn) {
+BOOST_AUTO_TEST_CASE(RefusedAmountIsWantedUntilReset) {
   Quotas quotas;
-  quotas.SetOrganisations({Bees({.cpu_millis = 10'000})});
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 10'000})});
   quotas.SetShare("bees", 100);
   BOOST_TEST(quotas.Allows("bees", kTask));
   BOOST_TEST(!quotas.Allows("bees", {.cpu_millis = 3000}));
   BOOST_TEST(quotas.Needs().at("bees").wanted == 300);
-  quotas.BeginTurn();
+  quotas.ResetRefused();
   BOOST_TEST(quotas.Needs().at("bees").wanted == 0);
 }
 
