--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -72,7 +72,7 @@
     this->MeetJob(job, now);
     return;
   }
-  job.beyond_due = !this->due_shares.Take(job.organisation, now);
+  job.beyond_due = !this->due_shares.Consume(job.organisation, now);
   if (job.spec.repeats > 0)
     this->timed.insert(job.id);
   double core_seconds = 0.0;
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -24,9 +24,9 @@
 #include "scheduler/actions.h"
 #include "scheduler/box_requests.h"
 #include "scheduler/demand.h"
-#include "scheduler/due_shares.h"
 #include "scheduler/facts.h"
 #include "scheduler/fleet.h"
+#include "scheduler/guaranteed_rates.h"
 #include "scheduler/job.h"
 #include "scheduler/quotas.h"
 #include "scheduler/ready_tasks.h"
@@ -398,7 +398,7 @@
   RunTimes run_times;
   Demand demand;
   Quotas quotas;
-  DueShares due_shares;
+  GuaranteedRates due_shares;
   Fleet fleet;
   BoxRequests box_requests;
   std::vector<Action> actions;
