--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -60,8 +60,8 @@
     }
     if (job && end.how == RunEnd::kDone && !ended.adopted && !ended.lasting) {
       const jobs::Step& step = StepOf(*job, PlaceOf(end.task));
-      this->run_times.Learn(step.image.empty() ? job->queue.name : step.image,
-                            now - ended.since);
+      this->run_times.AddSample(
+          step.image.empty() ? job->queue.name : step.image, now - ended.since);
     }
   }
   // 2. The task's fate.
@@ -262,7 +262,7 @@
   const jobs::Step& step = StepOf(job, PlaceOf(id));
   if (step.lasting || run.adopted || run.percent <= 0 || run.percent >= 100)
     return false;
-  const base::Micros expected = this->run_times.Expect(
+  const base::Micros expected = this->run_times.Estimate(
       step.image.empty() ? job.queue.name : step.image, base::Micros::zero());
   const base::Micros elapsed = now - run.since;
   if (expected <= base::Micros::zero() || elapsed < kSlowTimes * expected)
--- a/scheduler/run_times.cc
+++ b/scheduler/run_times.cc
@@ -5,22 +5,22 @@
 namespace {
 
 // The weight of one more run: about the last ten count.
-constexpr double kWeight = 0.1;
+constexpr double kSmoothingFactor = 0.1;
 
 }  // namespace
 
-void RunTimes::Learn(const std::string& kind, base::Micros took) {
-  const double seconds = base::Seconds(took);
-  const auto [entry, is_new] = this->mean_seconds.emplace(kind, seconds);
+void RunTimes::AddSample(const std::string& key, base::Micros duration) {
+  const double seconds = base::Seconds(duration);
+  const auto [entry, is_new] = this->mean_seconds.emplace(key, seconds);
   if (!is_new)
-    entry->second += kWeight * (seconds - entry->second);
+    entry->second += kSmoothingFactor * (seconds - entry->second);
 }
 
-base::Micros RunTimes::Expect(const std::string& kind,
-                              base::Micros guess) const {
-  const auto found = this->mean_seconds.find(kind);
+base::Micros RunTimes::Estimate(const std::string& key,
+                                base::Micros fallback) const {
+  const auto found = this->mean_seconds.find(key);
   if (found == this->mean_seconds.end())
-    return guess;
+    return fallback;
   return base::Micros(static_cast<std::int64_t>(found->second * 1e6));
 }
 
--- a/scheduler/run_times.h
+++ b/scheduler/run_times.h
@@ -14,9 +14,9 @@
 class RunTimes {
  public:
   // A task of this image (or queue, where it has none) ran so long.
-  void Learn(const std::string& kind, base::Micros took);
-  // The mean, or `guess` while nothing is known.
-  base::Micros Expect(const std::string& kind, base::Micros guess) const;
+  void AddSample(const std::string& key, base::Micros duration);
+  // The mean, or `fallback` while nothing is known.
+  base::Micros Estimate(const std::string& key, base::Micros fallback) const;
 
  private:
   std::unordered_map<std::string, double> mean_seconds;
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -118,7 +118,7 @@
 base::Micros Scheduler::ExpectedRun(const Job& job,
                                     const jobs::Step& step) const {
   const std::string& kind = step.image.empty() ? job.queue.name : step.image;
-  return this->run_times.Expect(kind, milliseconds(step.estimate_ms));
+  return this->run_times.Estimate(kind, milliseconds(step.estimate_ms));
 }
 
 // The longest chain of steps that begins with this one, or, from the number of
