--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -14,34 +14,34 @@
 
 // After so many tasks in a row that fit nowhere the rest of the pool's queue
 // waits for the next turn: bounds a turn under overload.
-constexpr int kMissesATurn = 24;
+constexpr int kMaxMissesPerTurn = 24;
 
 // An order leaves its queue within this; until then the run counts as leased.
-constexpr base::Micros kOrderLeaves = std::chrono::seconds(1);
+constexpr base::Micros kMaxOrderQueueTime = std::chrono::seconds(1);
 
 // Weights of a worker's cost for a task; the smallest sum wins. A task that
 // failed there goes elsewhere if anything else has room.
-constexpr double kFailedHere = 100.0;
+constexpr double kFailedHereCost = 100.0;
 // The data lies on another rack: it takes longer there.
-constexpr double kOtherRack = 4.0;
+constexpr double kOtherRackCost = 4.0;
 // Another task of the same lasting step sits on the rack: a lost rack is to
 // take few of them.
-constexpr double kSameStepOnRack = 3.0;
+constexpr double kSameStepOnRackCost = 3.0;
 // A worker that has failed runs lately, times its failure rate.
-constexpr double kFailing = 6.0;
-constexpr double kPinnedForLasting = 10.0;
-constexpr double kPinnedForOthers = 2.0;
+constexpr double kFailureRateCost = 6.0;
+constexpr double kPinnedBoxBonusForLongRunning = 10.0;
+constexpr double kPinnedBoxBonusForOthers = 2.0;
 // A worker whose runs crawl.
-constexpr double kSlow = 5.0;
+constexpr double kSlowWorkerCost = 5.0;
 // Beside a run that may crash the worker, whatever else has room is better.
-constexpr double kBesideSuspect = 3.0;
+constexpr double kBesideSuspectCost = 3.0;
 // Suspects are kept apart, so that a second crash tells the cause from its
 // company, and lose as few other runs as can be.
-constexpr double kSuspectBesideSuspect = 12.0;
-constexpr double kLostWithSuspect = 0.5;
+constexpr double kSuspectBesideSuspectCost = 12.0;
+constexpr double kRunBesideSuspectCost = 0.5;
 // How full the worker is (0 to 1): the fullest that fits goes first, so that
 // others run empty and can move to the pools where work waits.
-constexpr double kFullness = -1.0;
+constexpr double kUtilizationCost = -1.0;
 
 bool HasLabel(const WorkerInfo& info, const std::string& label) {
   return label.empty() || std::find(info.labels.begin(), info.labels.end(),
@@ -50,7 +50,7 @@
 
 // What must be free of the quota before a task of the step is placed: the tasks
 // of a gang are placed together.
-jobs::Resources NeededBy(const jobs::Step& step) {
+jobs::Resources QuotaNeededBy(const jobs::Step& step) {
   if (!step.gang)
     return step.each;
   return {.cpu_millis = step.each.cpu_millis * step.tasks,
@@ -63,7 +63,7 @@
   return found == runs.advice.tickets.end() ? std::string() : found->second;
 }
 
-double Fullness(const Worker& worker) {
+double Utilization(const Worker& worker) {
   const auto& has = worker.info.capacity;
   if (has.cpu_millis <= 0)
     return 1.0;
@@ -72,35 +72,36 @@
 }
 
 // Its capacity may have shrunk under what it runs and what is planned.
-bool HasRoomForAll(const Worker& worker) {
+bool FitsItsCapacity(const Worker& worker) {
   return jobs::Fits(jobs::Resources(), worker.room());
 }
 
 // Where the placed tasks of a step are. Counted only for steps whose placement
 // looks at it: every other task is placed without a walk over its step.
-class StepSpread {
+class StepDistribution {
  public:
-  StepSpread(const jobs::Step& step,
-             const StepRuns& runs,
-             const std::map<jobs::WorkerLife, Worker>& workers) {
+  StepDistribution(const jobs::Step& step,
+                   const StepRuns& runs,
+                   const std::map<jobs::WorkerLife, Worker>& workers) {
     if (!step.lasting && step.most_per_worker == 0)
       return;
     for (const Task& task : runs.tasks) {
       if (task.state != TaskState::kPlaced)
         continue;
-      ++this->on_worker[task.worker];
+      ++this->per_worker[task.worker];
       const auto worker = workers.find(task.worker);
       if (worker != workers.end())
-        ++this->on_rack[worker->second.info.rack];
+        ++this->per_rack[worker->second.info.rack];
     }
   }
 
-  int On(const Worker& worker) const {
-    return Count(this->on_worker, worker.info.life);
+  int CountOnWorker(const Worker& worker) const {
+    return Count(this->per_worker, worker.info.life);
   }
   // On other workers of its rack.
-  int Beside(const Worker& worker) const {
-    return Count(this->on_rack, worker.info.rack) - this->On(worker);
+  int CountElsewhereOnRack(const Worker& worker) const {
+    return Count(this->per_rack, worker.info.rack) -
+           this->CountOnWorker(worker);
   }
 
  private:
@@ -110,15 +111,15 @@
     return found == counts.end() ? 0 : found->second;
   }
 
-  std::map<jobs::WorkerLife, int> on_worker;
-  std::map<std::string, int> on_rack;
+  std::map<jobs::WorkerLife, int> per_worker;
+  std::map<std::string, int> per_rack;
 };
 
 // A worker was lost under the task on this box: it may have been the box's own
 // fault, which another box tells.
-bool WasLostOn(const jobs::Progress& progress,
-               const TaskPlace& place,
-               const std::string& box) {
+bool WorkerWasLostOn(const jobs::Progress& progress,
+                     const TaskPlace& place,
+                     const std::string& box) {
   if (progress.losses.empty())
     return false;
   const auto found = progress.losses.find(KeyOf(place));
@@ -130,26 +131,27 @@
 
 // What speaks for keeping the task and what runs on the worker apart, lest one
 // of them crashes the worker.
-double CostOfCompany(const Worker& worker, Suspicion suspicion) {
+double ColocationCost(const Worker& worker, Suspicion suspicion) {
   if (suspicion == Suspicion::kNone)
-    return worker.suspects > 0 ? kBesideSuspect : 0.0;
-  return kSuspectBesideSuspect * worker.suspects +
-         kLostWithSuspect * static_cast<double>(worker.runs.size());
+    return worker.suspects > 0 ? kBesideSuspectCost : 0.0;
+  return kSuspectBesideSuspectCost * worker.suspects +
+         kRunBesideSuspectCost * static_cast<double>(worker.runs.size());
 }
 
 // What members of a gang have been given so far, while others are chosen.
-struct GangShare {
-  jobs::Resources takes;
+struct GangAllocation {
+  jobs::Resources resources;
   int members = 0;
   bool has_probe = false;  // one of them is to start alone
 };
 
 // What speaks against a worker of its own, whatever the task: the smallest
 // sum wins.
-double CostOf(const Worker& worker, base::Micros now) {
-  double cost = kFullness * Fullness(worker) + kFailing * worker.failure_rate;
+double WorkerCost(const Worker& worker, base::Micros now) {
+  double cost = kUtilizationCost * Utilization(worker) +
+                kFailureRateCost * worker.failure_rate;
   if (now < worker.slow_until)
-    cost += kSlow;
+    cost += kSlowWorkerCost;
   return cost;
 }
 
@@ -221,12 +223,12 @@
                                              PoolTurn& turn,
                                              base::Micros now) {
   using AttemptResult = ReadyTasks::AttemptResult;
-  if (turn.misses >= kMissesATurn)
+  if (turn.misses >= kMaxMissesPerTurn)
     return AttemptResult::kStop;
   Job& job = *task.job;
-  const bool wanted =
+  const bool is_startable =
       !job.finished() && TaskAt(job, task.place).state == TaskState::kReady;
-  if (!wanted)
+  if (!is_startable)
     return AttemptResult::kObsolete;
   const auto step = std::make_pair(&job, task.place.step);
   const auto nowhere = turn.nowhere.find(step);
@@ -246,9 +248,9 @@
   TaskAt(job, task.place).waits_for = *reason;
   // What waits for its organisation's quota, or for a worker that runs nothing,
   // holds up nobody else: neither of its step nor of the pool.
-  const bool is_its_own =
+  const bool blocks_only_itself =
       *reason == WaitReason::kQuota || *reason == WaitReason::kSuspect;
-  if (is_its_own)
+  if (blocks_only_itself)
     return AttemptResult::kKept;
   turn.nowhere[step] = *reason;
   ++turn.misses;
@@ -265,7 +267,7 @@
   const jobs::Step& step = StepOf(job, ready_task.place);
   if (suspicion >= Suspicion::kHeld)
     return WaitReason::kSuspect;
-  if (!this->quotas.Allows(job.organisation, NeededBy(step)))
+  if (!this->quotas.Allows(job.organisation, QuotaNeededBy(step)))
     return WaitReason::kQuota;
   if (this->MayHaveBeenRenewed(job, ready_task.place))
     return WaitReason::kLease;
@@ -288,16 +290,17 @@
 // Has any worker, of whatever pool, its label and, empty, room for it? Of boxes
 // at rest it is not known.
 bool Scheduler::SuitsSomeWorker(const jobs::Step& step) const {
-  const bool has_spares =
+  const bool has_spare_pool =
       std::any_of(this->config.services.begin(), this->config.services.end(),
                   [](const jobs::Service& service) { return service.spare; });
   const jobs::Resources takes = TakenBy(step);
-  return has_spares || std::any_of(this->workers.begin(), this->workers.end(),
-                                   [&](const auto& entry) {
-                                     const WorkerInfo& info = entry.second.info;
-                                     return HasLabel(info, step.label) &&
-                                            jobs::Fits(takes, info.capacity);
-                                   });
+  return has_spare_pool ||
+         std::any_of(this->workers.begin(), this->workers.end(),
+                     [&](const auto& entry) {
+                       const WorkerInfo& info = entry.second.info;
+                       return HasLabel(info, step.label) &&
+                              jobs::Fits(takes, info.capacity);
+                     });
 }
 
 // One worker for a task, or one for each member of a gang; nothing if it, or
@@ -310,9 +313,10 @@
   const jobs::Step& step = StepOf(job, place);
   const StepRuns& runs = StepAt(job, place);
   const jobs::Resources takes = TakenBy(step);
-  const StepSpread spread(step, runs, this->workers);
+  const StepDistribution distribution(step, runs, this->workers);
   std::vector<Choice> choices;
-  std::map<const Worker*, GangShare> given;  // to earlier members of the gang
+  std::map<const Worker*, GangAllocation>
+      allocations;  // to earlier members of the gang
   const int first = step.gang ? 0 : place.index;
   const int last =
       step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
@@ -323,50 +327,57 @@
     const TaskPlace member{
         .occurrence = place.occurrence, .step = place.step, .index = i};
     const Suspicion suspicion = this->SuspicionOf(job, member, now);
-    const bool alone = suspicion == Suspicion::kProbe;
-    const bool waits_for_idle = alone && now - task.ready_since < kWaitForIdle;
+    const bool must_run_alone = suspicion == Suspicion::kProbe;
+    const bool waits_for_idle =
+        must_run_alone && now - task.ready_since < kWaitForIdle;
     Worker* best = nullptr;
     double best_cost = 0.0;
     for (Worker* worker : candidates) {
       // 1. Room, labels, a ticket, and how many of the step it may hold.
-      const auto earlier = given.find(worker);
-      const GangShare share =
-          earlier == given.end() ? GangShare() : earlier->second;
-      const bool fits = jobs::Fits(takes + share.takes, worker->room()) &&
-                        HasLabel(worker->info, step.label) &&
-                        now >= worker->quarantined_until;
+      const auto found = allocations.find(worker);
+      const GangAllocation allocated =
+          found == allocations.end() ? GangAllocation() : found->second;
+      const bool fits =
+          jobs::Fits(takes + allocated.resources, worker->room()) &&
+          HasLabel(worker->info, step.label) &&
+          now >= worker->quarantined_until;
       if (!fits)
         continue;
       // Nothing starts beside a task that is to be alone.
-      const bool is_shared = worker->probes > 0 || share.has_probe ||
-                             (alone && share.members > 0) ||
-                             (waits_for_idle && !worker->idle());
-      if (is_shared)
+      const bool conflicts_with_probe =
+          worker->probes > 0 || allocated.has_probe ||
+          (must_run_alone && allocated.members > 0) ||
+          (waits_for_idle && !worker->idle());
+      if (conflicts_with_probe)
         continue;
       if (job.queue.advice.required &&
           !runs.advice.tickets.contains(worker->info.life))
         continue;
       if (step.most_per_worker > 0 &&
-          spread.On(*worker) + share.members >= step.most_per_worker)
+          distribution.CountOnWorker(*worker) + allocated.members >=
+              step.most_per_worker)
         continue;
       // 2. What speaks against it.
-      double cost = CostOf(*worker, now) + CostOfCompany(*worker, suspicion);
+      double cost =
+          WorkerCost(*worker, now) + ColocationCost(*worker, suspicion);
       if (std::find(task.failed_on.begin(), task.failed_on.end(),
                     worker->info.life) != task.failed_on.end() ||
-          WasLostOn(job.progress, member, worker->info.box))
-        cost += kFailedHere;
+          WorkerWasLostOn(job.progress, member, worker->info.box))
+        cost += kFailedHereCost;
       if (!step.rack.empty() && worker->info.rack != step.rack)
-        cost += kOtherRack;
+        cost += kOtherRackCost;
       // A gang is slower over several racks: keep to the first member's.
       if (step.one_rack && !choices.empty() &&
           choices.front().worker->info.rack != worker->info.rack)
-        cost += kOtherRack;
+        cost += kOtherRackCost;
       if (step.lasting)
-        cost += kSameStepOnRack * spread.Beside(*worker);
+        cost +=
+            kSameStepOnRackCost * distribution.CountElsewhereOnRack(*worker);
       // What lasts pins its box to the pool: few boxes, which then take other
       // work first, so that the rest can move.
       if (worker->lasting > 0)
-        cost -= step.lasting ? kPinnedForLasting : kPinnedForOthers;
+        cost -= step.lasting ? kPinnedBoxBonusForLongRunning
+                             : kPinnedBoxBonusForOthers;
       if (!best || cost < best_cost) {
         best = worker;
         best_cost = cost;
@@ -375,10 +386,10 @@
     if (!best)
       return {};
     if (step.gang) {
-      GangShare& share = given[best];
-      share.takes = share.takes + takes;
-      ++share.members;
-      share.has_probe = alone;
+      GangAllocation& allocated = allocations[best];
+      allocated.resources = allocated.resources + takes;
+      ++allocated.members;
+      allocated.has_probe = must_run_alone;
     }
     choices.push_back({.place = member, .worker = best});
   }
@@ -432,10 +443,10 @@
 }
 
 void Scheduler::StartSaved(Job& job, base::Micros now) {
-  std::vector<PendingStart> later;
+  std::vector<PendingStart> not_yet_saved;
   for (const PendingStart& start : std::exchange(job.pending_starts, {})) {
     if (start.change > job.saved_change) {
-      later.push_back(start);
+      not_yet_saved.push_back(start);
       continue;
     }
     const Task& task = TaskAt(job, start.place);
@@ -449,7 +460,7 @@
     if (run == worker.runs.end() || run->second.state != RunState::kPlanned)
       continue;
     // The worker may have drained, died or lost room since the plan.
-    if (!this->Usable(worker, now) || !HasRoomForAll(worker)) {
+    if (!this->Usable(worker, now) || !FitsItsCapacity(worker)) {
       RemoveRun(worker, id);
       this->TaskLost(id, start.run, now);
       continue;
@@ -457,7 +468,7 @@
     run->second.state = RunState::kStarting;
     run->second.since = now;
     // Its order grants a lease when it is sent, in a moment.
-    worker.lease_end = std::max(worker.lease_end, now + kOrderLeaves);
+    worker.lease_end = std::max(worker.lease_end, now + kMaxOrderQueueTime);
     worker.next_look = std::min(worker.next_look, now);
     const bool resumes = StepOf(job, start.place).checkpoints;
     this->actions.emplace_back(
@@ -468,7 +479,7 @@
                  .checkpoint = resumes ? task.checkpoint : std::string(),
                  .ticket = TicketFor(StepAt(job, start.place), task.worker)});
   }
-  job.pending_starts = std::move(later);
+  job.pending_starts = std::move(not_yet_saved);
 }
 
 }  // namespace quartzhoist::scheduler
