--- a/scheduler/ready_tasks.cc
+++ b/scheduler/ready_tasks.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A pool counts as overloaded for so long after a job has run out of time
-// unbegun, or of use: longer than a turn of the scheduler, shorter than a
-// height of demand (some seconds on the sites).
+// A class counts as overloaded for this long after one of its tasks has missed
+// its deadline (kStarted is exempt): longer than a scheduling turn, shorter
+// than a demand peak (some seconds on the sites).
 constexpr base::Micros kOverloadDuration = std::chrono::seconds(1);
 
 constexpr std::array<SchedulingClass, 6> kClassOrder{
@@ -27,7 +27,7 @@
   return first;
 }
 
-// Comes after all tasks of this priority and prospect.
+// Sorts after all tasks of this priority and class.
 ReadyTask RangeEnd(int priority, SchedulingClass scheduling_class) {
   ReadyTask end = RangeBegin(priority, scheduling_class);
   end.soft_deadline = base::Micros::max();
@@ -37,25 +37,24 @@
 
 }  // namespace
 
-// The load pattern is a height of demand: for some seconds a pool is handed
-// more than all boxes it can get could do. By the nearest end alone every job
-// waits until it has just run out of time, and then begins: all are late.
-// Whoever is left behind then changes nothing for those that are late anyway,
-// so that the newest go first, and most of what the pool can do is in time (6 s
-// of 2.5 times what a pool can do, simulated in ready_tasks_test: 24% in time
-// by the nearest end, 50% so). What has begun is finished first. The same holds
-// for jobs that are late once some of them run out of their use: by the nearest
-// end they begin when they are just too late for that (of the same 6 s 53% of
-// use, 61% so). In calm, when nobody runs out of time, the nearest end goes
-// first. Jobs beyond what their organisation is due come after all that others
-// are due: at a height one organisation's flood costs the others nothing, and
-// is served from what they leave.
+// Tasks go earliest deadline first (EDF) unless their class is overloaded. In a
+// demand peak a pool receives for some seconds more work than all the boxes it
+// can get could run. EDF then starts every job just after its deadline, so that
+// all are late. Starting the newest tasks first instead costs only jobs that
+// would be late anyway, and most of the pool's capacity goes to jobs that
+// finish on time (simulated in ready_tasks_test, 6 s at 2.5 times the capacity:
+// 24% on time with EDF, 50% with newest first). The same holds for late jobs
+// near their firm deadline (same peak: 53% useful with EDF, 61% with newest
+// first). Jobs that have started are finished first. Jobs over their
+// organisation's rate come after all jobs within theirs, so that one
+// organisation's peak does not delay the others and uses only the capacity that
+// they leave.
 void ReadyTasks::TryInOrder(
     base::Micros now,
     const std::function<AttemptResult(const ReadyTask& task)>& attempt) {
-  // 1. What has run out of time falls behind what has not.
+  // 1. Reclassify the tasks whose deadline has passed.
   this->Demote(now);
-  // 2. By priority, then by prospect.
+  // 2. Attempt by priority, then by class.
   auto next = this->tasks.begin();
   while (next != this->tasks.end()) {
     const int priority = next->priority;
@@ -83,7 +82,7 @@
   }
 }
 
-// Each range is in the order of its ends: only those that are over are touched.
+// Each range is sorted by deadline, so only tasks past theirs are visited.
 void ReadyTasks::DemoteWithin(int priority,
                               SchedulingClass scheduling_class,
                               base::Micros now) {
@@ -112,7 +111,8 @@
   };
   std::vector<ReadyTask> newly_started;
   AttemptResult result = AttemptResult::kKept;
-  // What is tried lies before `it` with the newest first, at `it` otherwise.
+  // The next task is the one before `it` with the newest first, otherwise the
+  // one at `it`.
   auto it = this->tasks.lower_bound(
       newest_first ? RangeEnd(priority, scheduling_class)
                    : RangeBegin(priority, scheduling_class));
@@ -140,8 +140,8 @@
   return result != AttemptResult::kStop;
 }
 
-// The other tasks of its step, which have the same end, come before jobs that
-// have not begun: a job that is half done is worth nothing.
+// Moves the other tasks of the step, which have the same deadline, ahead of
+// jobs that have not started: a half-finished job is worth nothing.
 void ReadyTasks::PromoteStartedStep(const ReadyTask& placed) {
   ReadyTask at = placed;
   at.sequence = 0;
--- a/scheduler/ready_tasks.h
+++ b/scheduler/ready_tasks.h
@@ -1,5 +1,5 @@
-// The tasks of a pool that wait to be placed, and in which order they are
-// tried.
+// Queue of a pool's tasks that are ready to be placed, ordered by priority,
+// scheduling class and deadline.
 
 #ifndef SCHEDULER_READY_TASKS_H_
 #define SCHEDULER_READY_TASKS_H_
@@ -15,29 +15,28 @@
 
 namespace quartzhoist::scheduler {
 
-// What a task may still come to, the best to be tried first.
+// Scheduling classes in descending precedence within a priority.
 enum class SchedulingClass {
-  kLongRunning,  // runs until its job is cancelled: late from the first moment
-                 // on
-  kStarted,      // can be in time, and its job has begun
-  kNotStarted,   // can be in time, and nothing of its job has begun
-  kLate,         // can no longer be in time, but soon enough to be of use
-  kOverRate,     // beyond what its organisation is due, nothing of it has begun
-  kExpired,      // too late to be of use; it runs all the same
+  kLongRunning,  // runs until cancelled; overdue from the start
+  kStarted,      // can meet the target; the job has started
+  kNotStarted,   // can meet the target; the job has not started
+  kLate,         // misses the target, but is still useful
+  kOverRate,     // job over its organisation's rate, not started
+  kExpired,      // too late to be useful, but runs anyway
 };
 
-// `soft_deadline`, `firm_deadline`: when it must begin at the latest to be
-// that.
+// The deadlines are latest start times: after the soft one the task misses its
+// target, after the firm one its result is no longer useful.
 struct ReadyTask {
   int priority = 0;
   SchedulingClass scheduling_class = SchedulingClass::kNotStarted;
   base::Micros soft_deadline{};
   base::Micros firm_deadline{};
-  std::uint64_t sequence = 0;  // rises with each one
-  Job* job = nullptr;          // jobs are never dropped
+  std::uint64_t sequence = 0;  // insertion order; breaks ties
+  Job* job = nullptr;          // jobs are never erased, so this stays valid
   TaskPlace place;
 
-  // The end of the prospect that it has now.
+  // The deadline at which the task leaves its current class.
   base::Micros deadline() const {
     const bool uses_firm_deadline =
         this->scheduling_class == SchedulingClass::kLate ||
@@ -55,17 +54,17 @@
 class ReadyTasks {
  public:
   using Set = std::set<ReadyTask>;
-  // What came of a task that was tried.
+  // Outcome of an attempt to place a task.
   enum class AttemptResult {
-    kPlaced,    // it leaves the set, and its job has begun
-    kObsolete,  // it leaves the set
+    kPlaced,    // removed from the queue; its job has started
+    kObsolete,  // removed from the queue without a placement
     kKept,
-    kStop,  // it stays, and nothing further is tried
+    kStop,  // kept; ends the iteration
   };
 
   void Insert(const ReadyTask& task) { this->tasks.insert(task); }
-  // Tries the tasks one by one, by priority and prospect, until `attempt` says
-  // to stop. It may insert no task.
+  // Calls `attempt` for each task by priority and scheduling class until it
+  // returns kStop. `attempt` must not insert tasks.
   void TryInOrder(
       base::Micros now,
       const std::function<AttemptResult(const ReadyTask& task)>& attempt);
@@ -79,7 +78,7 @@
   void DemoteWithin(int priority,
                     SchedulingClass scheduling_class,
                     base::Micros now);
-  // False if nothing further is to be tried.
+  // Returns false if the attempts have been stopped.
   bool TryInOrderWithin(
       int priority,
       SchedulingClass scheduling_class,
@@ -88,8 +87,8 @@
   void PromoteStartedStep(const ReadyTask& placed);
 
   Set tasks;
-  // Until when tasks of this prospect count as more than can be done: some have
-  // lately run out of time.
+  // Until when a class counts as overloaded: some of its tasks have recently
+  // missed their deadline.
   std::map<SchedulingClass, base::Micros> overloaded_until;
 };
 
--- a/scheduler/ready_tasks_test.cc
+++ b/scheduler/ready_tasks_test.cc
@@ -1,4 +1,4 @@
-// In which order waiting tasks are tried, under the loads that it is made for.
+// Placement order of ready tasks, and simulations of it under load.
 
 #include <algorithm>
 #include <deque>
@@ -29,8 +29,8 @@
           .place = {}};
 }
 
-// One organisation floods a pool: what others are due goes first, late jobs
-// too, and the flood is served from what is left, before what is of no use.
+// When one organisation exceeds its rate, the jobs of others within theirs go
+// first, also late ones. The excess comes next, before expired jobs.
 BOOST_AUTO_TEST_CASE(JobsOverTheirRateComeAfterJobsWithinTheirRate) {
   std::deque<Job> jobs(4);
   ReadyTasks tasks;
@@ -62,8 +62,9 @@
       }));
 }
 
-// A pool of equal slots, and jobs of a step of four tasks that take 0.64 s in
-// the mean; in time is 1.62 s after the job was handed in, of use 4.9 s.
+// Simulates a pool of equal slots and jobs of one step with four tasks of 0.64
+// s mean run time. A job is on time within 1.62 s of its submission, useful
+// within 4.9 s.
 struct Pool {
   static constexpr int kSlots = 100;
   static constexpr int kTasks = 4;
@@ -71,7 +72,7 @@
   static constexpr base::Micros kTarget = milliseconds(1624);
   static constexpr base::Micros kTick = milliseconds(10);
 
-  // So many times what the pool can do is handed in, for so long.
+  // Submits jobs for `span` at `load` times the pool's capacity.
   void ApplyLoad(double load, base::Micros span) {
     const base::Micros until = this->now + span;
     const double jobs_per_second = load * kSlots / kTasks / 0.64;
@@ -99,7 +100,7 @@
     }
   }
 
-  // A task that failed waits anew, as the rest of a job that has begun.
+  // A failed task is queued again as part of a job that has started.
   void Requeue(Job& job) {
     this->tasks.Insert({.scheduling_class = SchedulingClass::kStarted,
                         .soft_deadline = job.accepted + kTarget - kMeanRun,
@@ -145,7 +146,7 @@
            static_cast<double>(this->jobs.size());
   }
 
-  using Running = std::pair<base::Micros, Job*>;  // until when
+  using Running = std::pair<base::Micros, Job*>;  // end time, job
   base::Micros now = seconds(100);
   ReadyTasks tasks;
   std::deque<Job> jobs;
@@ -159,8 +160,8 @@
   std::bernoulli_distribution run_fails{0.0};
 };
 
-// A calm load, and a short rush that waiting can even out: nobody is left
-// behind.
+// A steady load below capacity, and a short burst that queueing absorbs: nearly
+// all jobs are on time.
 BOOST_AUTO_TEST_CASE(LoadWithinCapacityIsOnTime) {
   Pool calm;
   calm.ApplyLoad(0.8, seconds(10));
@@ -174,7 +175,7 @@
   BOOST_TEST(burst.OnTimeShare() > 0.95);
 }
 
-// A height of demand: for 6 s 2.5 times what the pool can do.
+// A demand peak of 6 s at 2.5 times the pool's capacity.
 BOOST_AUTO_TEST_CASE(DemandPeakKeepsManyOnTime) {
   Pool pool;
   pool.ApplyLoad(0.2, seconds(2));
@@ -187,8 +188,8 @@
   BOOST_TEST(pool.UsefulShare() > 0.58);
 }
 
-// A little more than the pool can do: what waits can be worked off while it is
-// of use, and is.
+// At slightly more than the pool's capacity the backlog is worked off while it
+// is still useful.
 BOOST_AUTO_TEST_CASE(MildOverloadKeepsAllJobsUseful) {
   for (const double load : {1.15, 1.3}) {
     Pool pool;
@@ -200,7 +201,7 @@
   }
 }
 
-// The height of demand while a tenth of the runs fail.
+// The same demand peak while 10% of the runs fail.
 BOOST_AUTO_TEST_CASE(DemandPeakWithFailingRunsKeepsHalfUseful) {
   Pool pool;
   pool.run_fails = std::bernoulli_distribution(0.1);
@@ -247,7 +248,8 @@
   BOOST_TEST(Order(tasks, now) == wanted, boost::test_tools::per_element());
 }
 
-// The rest of a job that has begun goes before newer jobs.
+// The remaining tasks of a started job go before jobs that have not started,
+// also before one with an earlier deadline.
 BOOST_AUTO_TEST_CASE(StartedJobsAreFinishedFirst) {
   Pool pool;
   pool.Submit();
@@ -268,7 +270,7 @@
                     .place = {.index = i}});
     }
   }
-  // One task of the later one is placed.
+  // Place one task of the job with the later deadline.
   tasks.TryInOrder(now, [&](const ReadyTask& task) {
     return task.job == &first && task.place.index == 0 ? AttemptResult::kPlaced
                                                        : AttemptResult::kKept;
