--- a/scheduler/quotas.cc
+++ b/scheduler/quotas.cc
@@ -15,7 +15,8 @@
   return quota != jobs::Resources{};
 }
 
-// So many thousandths of the quota, rounded up, of the scarcest kind.
+// The highest fraction of the quota over all resource types, in thousandths,
+// rounded up.
 int PermilleOf(const jobs::Resources& amount, const jobs::Resources& quota) {
   std::int64_t permille = 0;
   for (const auto type : kResourceTypes) {
@@ -28,7 +29,7 @@
   return static_cast<int>(std::min(permille, kMaxPermille));
 }
 
-// Is the amount within this share of the quota, in every kind?
+// Whether the amount is within this share of the quota for every resource type.
 bool IsWithin(const jobs::Resources& amount,
               const jobs::Resources& quota,
               int share) {
@@ -51,10 +52,10 @@
   this->accounts[organisation].share = share;
 }
 
-// A task that is larger than the whole quota runs alone, and one may overlap
-// the limit: the shard with more than half of the quota begins one more task
-// while it is below its share. Only one shard at a time holds that much, so
-// that all together pass the quota by one task at most.
+// The shard with more than half of the quota may start one task beyond its
+// share while its usage is below the share, so that a task larger than the
+// whole quota can run alone. Only one shard at a time can hold more than half,
+// so all shards together exceed the quota by at most one task.
 bool Quotas::Allows(const std::string& organisation,
                     const jobs::Resources& needed) {
   if (organisation.empty())
--- a/scheduler/quotas.h
+++ b/scheduler/quotas.h
@@ -1,5 +1,5 @@
-// What each organisation may have running at once, and what it has, as far as
-// one owner is concerned: of an organisation's quota a shard holds a share.
+// Limits and counts the resources of each organisation's concurrent runs in one
+// shard. Each shard holds a share of an organisation's quota.
 
 #ifndef SCHEDULER_QUOTAS_H_
 #define SCHEDULER_QUOTAS_H_
@@ -13,39 +13,40 @@
 
 namespace quartzhoist::scheduler {
 
-// Shares are counted in thousandths of the quota.
+// Quota shares are in thousandths (per mille) of the quota.
 inline constexpr int kWholeQuota = 1000;
 
-// How an organisation stands in this shard, in thousandths of its quota: of the
-// resource that it needs most.
+// An organisation's usage in this shard, in thousandths of its quota, for the
+// resource with the highest fraction.
 struct QuotaNeed {
   int used = 0;
-  int wanted = 0;  // with what was refused for want of quota; may be above all
+  int wanted = 0;  // with what the quota refused; may exceed kWholeQuota
 };
 
 class Quotas {
  public:
-  // An organisation that is not listed any more keeps its last quota.
+  // An organisation missing from the list keeps its last quota.
   void SetOrganisations(const std::vector<jobs::Organisation>& organisations);
-  // This shard's share; none until it is set.
+  // Sets this shard's share in thousandths; 0 until set.
   void SetShare(const std::string& organisation, int share);
 
-  // May runs that take this begin? What may not is noted as wanted.
+  // Whether runs that take `needed` may start. Refused amounts count as wanted.
   bool Allows(const std::string& organisation, const jobs::Resources& needed);
-  // Forgets what was wanted: the tasks that wait are tried anew.
+  // Call before each scheduling turn, which attempts all waiting tasks again.
   void ResetRefused();
 
-  // Where what the organisation's runs take is counted; it stays in place.
+  // The counter of what the organisation's runs take. The reference stays
+  // valid.
   jobs::Resources& UsageOf(const std::string& organisation);
 
-  // By organisation, of those with a quota.
+  // By organisation; only those with a quota.
   std::map<std::string, QuotaNeed> Needs() const;
 
  private:
   struct Account {
     jobs::Resources quota;  // 0: no limit
     jobs::Resources used;
-    jobs::Resources refused;  // in this turn
+    jobs::Resources refused;  // in this scheduling turn
     int share = 0;
   };
 
--- a/scheduler/quotas_test.cc
+++ b/scheduler/quotas_test.cc
@@ -1,4 +1,4 @@
-// Which runs an organisation's quota lets begin.
+// Tests which runs an organisation's quota admits.
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,7 +13,7 @@
 
 constexpr jobs::Resources kTask{.cpu_millis = 1000, .memory_mb = 100};
 
-// Begins tasks until none may; how many.
+// Starts tasks until the quota refuses one. Returns how many started.
 int Fill(Quotas& quotas, const jobs::Resources& task) {
   int started = 0;
   while (started < 1000 && quotas.Allows("bees", task)) {
@@ -30,11 +30,11 @@
   BOOST_TEST(Fill(quotas, kTask) == 0);
   quotas.SetShare("bees", 500);
   BOOST_TEST(Fill(quotas, kTask) == 5);
-  // With more than half, one task more than the share.
+  // A shard with more than half of the quota may exceed its share by one task.
   quotas.SetShare("bees", 750);
   BOOST_TEST(Fill(quotas, kTask) == 3);
   BOOST_TEST(quotas.Needs().at("bees").used == 800);
-  // A quota that is cut far below what runs lets nothing begin.
+  // With the quota cut far below the current usage nothing may start.
   quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 2'000})});
   BOOST_TEST(Fill(quotas, kTask) == 0);
   BOOST_TEST(quotas.Needs().at("bees").used == 4000);
@@ -46,7 +46,7 @@
       {BeesWithQuota({.cpu_millis = 10'000, .memory_mb = 250}),
        {.name = "free"}});
   quotas.SetShare("bees", kWholeQuota);
-  // One beyond what fits.
+  // Two tasks fit, and one more may exceed the quota.
   BOOST_TEST(Fill(quotas, kTask) == 3);
   BOOST_TEST(quotas.Allows("free", {.cpu_millis = 1'000'000}));
   BOOST_TEST(quotas.Allows("", {.cpu_millis = 1'000'000}));
