--- a/scheduler/guaranteed_rates.cc
+++ b/scheduler/guaranteed_rates.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// An organisation may be due so much at once: jobs come in bunches, and go to
+// Bucket size in seconds of the rate. Jobs arrive in bursts and are assigned to
 // shards at random.
 constexpr double kBurstSeconds = 2.0;
 
--- a/scheduler/guaranteed_rates.h
+++ b/scheduler/guaranteed_rates.h
@@ -1,5 +1,6 @@
-// Which jobs are within what their organisation is due when there is not enough
-// for all: a rate of jobs, of which this shard counts its part.
+// Token buckets that tell which jobs are within their organisation's guaranteed
+// rate, which counts when there is not enough capacity for all. Each shard
+// applies its part of the rate.
 
 #ifndef SCHEDULER_GUARANTEED_RATES_H_
 #define SCHEDULER_GUARANTEED_RATES_H_
@@ -15,19 +16,19 @@
 
 class GuaranteedRates {
  public:
-  // The jobs are spread over so many shards.
+  // Jobs are spread over `shards` shards.
   explicit GuaranteedRates(int shards) : shard_count(shards) {}
 
   void SetOrganisations(const std::vector<jobs::Organisation>& organisations);
-  // Counts a job that is handed in; true if its organisation was due it. Who
-  // has no rate is due all.
+  // Counts a submitted job. Returns whether it is within the rate; always true
+  // for an organisation without one.
   bool Consume(const std::string& organisation, base::Micros now);
 
  private:
   struct Bucket {
     double jobs_per_second = 0.0;  // in this shard
-    double tokens = 0.0;           // jobs that are due now
-    base::Micros refilled{};       // when that was worked out
+    double tokens = 0.0;           // jobs that may still be submitted now
+    base::Micros refilled{};       // when `tokens` was last updated
   };
 
   int shard_count;
--- a/scheduler/guaranteed_rates_test.cc
+++ b/scheduler/guaranteed_rates_test.cc
@@ -1,4 +1,4 @@
-// What an organisation is due when there is not enough for all.
+// Tests which jobs are within an organisation's guaranteed rate.
 
 #include <boost/test/unit_test.hpp>
 
@@ -23,7 +23,7 @@
 BOOST_AUTO_TEST_CASE(JobsWithinTheRateAndABurstAreGuaranteed) {
   GuaranteedRates rates(2);
   rates.SetOrganisations({{.name = "bees", .keys = {}, .jobs_a_second = 20}});
-  // Of 20 jobs a second one of two shards counts 10.
+  // Each of the two shards grants 10 of the 20 jobs per second.
   BOOST_TEST(CountWithinRate(rates, "bees", 100, seconds(1)) == 20);
   BOOST_TEST(
       CountWithinRate(rates, "bees", 100, seconds(1) + milliseconds(500)) == 5);
