--- a/scheduler/run_times.cc
+++ b/scheduler/run_times.cc
@@ -4,7 +4,8 @@
 
 namespace {
 
-// The weight of one more run: about the last ten count.
+// Weight of a new sample in the exponential moving average, which then covers
+// about the last ten runs.
 constexpr double kSmoothingFactor = 0.1;
 
 }  // namespace
--- a/scheduler/run_times.h
+++ b/scheduler/run_times.h
@@ -1,5 +1,5 @@
-// How long tasks run, learned from those that ended; guesses of the callers
-// are far off.
+// Run time estimates from finished tasks, because callers' estimates are far
+// off.
 
 #ifndef SCHEDULER_RUN_TIMES_H_
 #define SCHEDULER_RUN_TIMES_H_
@@ -13,9 +13,10 @@
 
 class RunTimes {
  public:
-  // A task of this image (or queue, where it has none) ran so long.
+  // Adds the run time of a finished task. `key` is its image, or its queue if
+  // it has none.
   void AddSample(const std::string& key, base::Micros duration);
-  // The mean, or `fallback` while nothing is known.
+  // The moving average, or `fallback` before the first sample.
   base::Micros Estimate(const std::string& key, base::Micros fallback) const;
 
  private:
