--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -1,4 +1,4 @@
-// Which ready task starts next, and on which worker.
+// Placement: which ready task starts next, and on which worker.
 
 #include <algorithm>
 #include <set>
@@ -12,35 +12,39 @@
 
 namespace {
 
-// After so many tasks in a row that fit nowhere the rest of the pool's queue
-// waits for the next turn: bounds a turn under overload.
+// After this many steps that cannot be placed the rest of the pool's queue
+// waits for the next turn. This bounds a turn's duration under overload.
 constexpr int kMaxMissesPerTurn = 24;
 
-// An order leaves its queue within this; until then the run counts as leased.
+// Upper bound on the time a start order waits to be sent. Until then the run
+// counts as covered by a lease.
 constexpr base::Micros kMaxOrderQueueTime = std::chrono::seconds(1);
 
-// Weights of a worker's cost for a task; the smallest sum wins. A task that
-// failed there goes elsewhere if anything else has room.
+// Weights of a worker's cost for a task; the worker with the lowest sum is
+// chosen. A task that failed on a worker goes elsewhere if any other worker has
+// room.
 constexpr double kFailedHereCost = 100.0;
-// The data lies on another rack: it takes longer there.
+// The task's data is on another rack, so the run takes longer.
 constexpr double kOtherRackCost = 4.0;
-// Another task of the same lasting step sits on the rack: a lost rack is to
-// take few of them.
+// Each other task of the same long-running step on the rack: spreads them, so
+// that losing a rack stops few of them.
 constexpr double kSameStepOnRackCost = 3.0;
-// A worker that has failed runs lately, times its failure rate.
+// Multiplied by the worker's recent failure rate.
 constexpr double kFailureRateCost = 6.0;
 constexpr double kPinnedBoxBonusForLongRunning = 10.0;
 constexpr double kPinnedBoxBonusForOthers = 2.0;
-// A worker whose runs crawl.
+// The worker's runs progress slowly.
 constexpr double kSlowWorkerCost = 5.0;
-// Beside a run that may crash the worker, whatever else has room is better.
+// A run that may crash the worker is already there; prefer any other worker.
 constexpr double kBesideSuspectCost = 3.0;
-// Suspects are kept apart, so that a second crash tells the cause from its
-// company, and lose as few other runs as can be.
+// Suspects are kept apart, so that a second crash tells the cause from runs
+// that only shared the worker, and are placed beside few other runs, which a
+// crash would lose.
 constexpr double kSuspectBesideSuspectCost = 12.0;
 constexpr double kRunBesideSuspectCost = 0.5;
-// How full the worker is (0 to 1): the fullest that fits goes first, so that
-// others run empty and can move to the pools where work waits.
+// Multiplied by the worker's utilization (0 to 1). The fullest worker that fits
+// is preferred, so that other boxes become idle and can move to pools with
+// waiting work.
 constexpr double kUtilizationCost = -1.0;
 
 bool HasLabel(const WorkerInfo& info, const std::string& label) {
@@ -48,8 +52,8 @@
                                     label) != info.labels.end();
 }
 
-// What must be free of the quota before a task of the step is placed: the tasks
-// of a gang are placed together.
+// The quota needed to place a task of the step. The tasks of a gang are placed
+// together, so they need it all at once.
 jobs::Resources QuotaNeededBy(const jobs::Step& step) {
   if (!step.gang)
     return step.each;
@@ -71,13 +75,15 @@
          static_cast<double>(has.cpu_millis);
 }
 
-// Its capacity may have shrunk under what it runs and what is planned.
+// False if the worker's capacity has shrunk below what its current and planned
+// runs take.
 bool FitsItsCapacity(const Worker& worker) {
   return jobs::Fits(jobs::Resources(), worker.room());
 }
 
-// Where the placed tasks of a step are. Counted only for steps whose placement
-// looks at it: every other task is placed without a walk over its step.
+// Number of a step's placed tasks per worker and per rack. Filled only for
+// steps whose placement depends on it, to avoid iterating over all tasks of
+// every other step.
 class StepDistribution {
  public:
   StepDistribution(const jobs::Step& step,
@@ -98,7 +104,7 @@
   int CountOnWorker(const Worker& worker) const {
     return Count(this->per_worker, worker.info.life);
   }
-  // On other workers of its rack.
+  // Tasks on other workers of the same rack.
   int CountElsewhereOnRack(const Worker& worker) const {
     return Count(this->per_rack, worker.info.rack) -
            this->CountOnWorker(worker);
@@ -115,8 +121,8 @@
   std::map<std::string, int> per_rack;
 };
 
-// A worker was lost under the task on this box: it may have been the box's own
-// fault, which another box tells.
+// Whether a worker on this box was lost while it ran the task. The box may be
+// the cause, which a run on another box shows.
 bool WorkerWasLostOn(const jobs::Progress& progress,
                      const TaskPlace& place,
                      const std::string& box) {
@@ -129,8 +135,8 @@
              [&box](const auto& entry) { return entry.second.box == box; });
 }
 
-// What speaks for keeping the task and what runs on the worker apart, lest one
-// of them crashes the worker.
+// Cost of placing the task beside the worker's runs, when one of them may crash
+// the worker.
 double ColocationCost(const Worker& worker, Suspicion suspicion) {
   if (suspicion == Suspicion::kNone)
     return worker.suspects > 0 ? kBesideSuspectCost : 0.0;
@@ -138,15 +144,15 @@
          kRunBesideSuspectCost * static_cast<double>(worker.runs.size());
 }
 
-// What members of a gang have been given so far, while others are chosen.
+// What a worker has been allocated for a gang's members while workers for the
+// other members are being chosen.
 struct GangAllocation {
   jobs::Resources resources;
   int members = 0;
-  bool has_probe = false;  // one of them is to start alone
+  bool has_probe = false;  // one of them must start alone
 };
 
-// What speaks against a worker of its own, whatever the task: the smallest
-// sum wins.
+// The part of a worker's cost that does not depend on the task.
 double WorkerCost(const Worker& worker, base::Micros now) {
   double cost = kUtilizationCost * Utilization(worker) +
                 kFailureRateCost * worker.failure_rate;
@@ -164,8 +170,8 @@
          worker.clock_ms > 0 && !this->fleet.IsLeaving(worker.info.box);
 }
 
-// A later owner may have renewed a lease that seems to be over here, unless the
-// store has confirmed this owner since.
+// A later owner may have renewed a lease that this owner sees as expired,
+// unless the store has confirmed this ownership since.
 bool Scheduler::MayHaveBeenRenewed(const Job& job,
                                    const TaskPlace& place) const {
   const StepRuns& runs = StepAt(job, place);
@@ -181,7 +187,7 @@
 int Scheduler::NextRun(const Job& job, const TaskPlace& place) const {
   const StepRuns& runs = StepAt(job, place);
   int newest = 0;
-  // The members of a gang share the number.
+  // The members of a gang share the run number.
   if (StepOf(job, place).gang) {
     for (const Task& task : runs.tasks)
       newest = std::max(newest, task.newest_run);
@@ -204,7 +210,7 @@
 void Scheduler::PlacePool(const std::string& service,
                           ReadyTasks& tasks,
                           base::Micros now) {
-  // 1. The pool's workers that may take something.
+  // 1. Collect the pool's usable workers.
   PoolTurn turn;
   for (auto& [id, worker] : this->workers) {
     if (worker.info.service == service && this->Usable(worker, now))
@@ -212,13 +218,14 @@
   }
   if (turn.candidates.empty())
     return;
-  // 2. Its tasks, by what may still come of them.
+  // 2. Attempt the pool's ready tasks in scheduling order.
   tasks.TryInOrder(now, [&](const ReadyTask& task) {
     return this->TryTask(task, turn, now);
   });
 }
 
-// Equal tasks of a step that fits nowhere are passed over.
+// After one task of a step fits no worker, the step's other tasks are skipped
+// for this turn: they have the same requirements.
 ReadyTasks::AttemptResult Scheduler::TryTask(const ReadyTask& task,
                                              PoolTurn& turn,
                                              base::Micros now) {
@@ -246,8 +253,9 @@
   if (!reason)
     return AttemptResult::kPlaced;
   TaskAt(job, task.place).waits_for = *reason;
-  // What waits for its organisation's quota, or for a worker that runs nothing,
-  // holds up nobody else: neither of its step nor of the pool.
+  // A task that waits for quota, or for an idle worker because it is a suspect,
+  // says nothing about other tasks: it neither blocks its step nor counts as a
+  // miss.
   const bool blocks_only_itself =
       *reason == WaitReason::kQuota || *reason == WaitReason::kSuspect;
   if (blocks_only_itself)
@@ -257,7 +265,7 @@
   return AttemptResult::kKept;
 }
 
-// Why it has not been placed; nothing if it has.
+// Returns why the task was not placed, or nullopt if it was.
 std::optional<WaitReason> Scheduler::PlaceOne(
     const ReadyTask& ready_task,
     Suspicion suspicion,
@@ -287,8 +295,9 @@
   return std::nullopt;
 }
 
-// Has any worker, of whatever pool, its label and, empty, room for it? Of boxes
-// at rest it is not known.
+// Whether a worker of any pool has the label and enough total capacity. Assumed
+// true if there is a spare pool, because the capacity of boxes at rest is
+// unknown.
 bool Scheduler::SuitsSomeWorker(const jobs::Step& step) const {
   const bool has_spare_pool =
       std::any_of(this->config.services.begin(), this->config.services.end(),
@@ -303,8 +312,8 @@
                      });
 }
 
-// One worker for a task, or one for each member of a gang; nothing if it, or
-// any member, fits nowhere.
+// Chooses one worker for the task, or one for each member of a gang. Returns
+// nothing if the task or any member fits no worker.
 std::vector<Scheduler::Choice> Scheduler::ChooseFor(
     const Job& job,
     const TaskPlace& place,
@@ -315,8 +324,8 @@
   const jobs::Resources takes = TakenBy(step);
   const StepDistribution distribution(step, runs, this->workers);
   std::vector<Choice> choices;
-  std::map<const Worker*, GangAllocation>
-      allocations;  // to earlier members of the gang
+  // For the gang members chosen so far.
+  std::map<const Worker*, GangAllocation> allocations;
   const int first = step.gang ? 0 : place.index;
   const int last =
       step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
@@ -333,7 +342,8 @@
     Worker* best = nullptr;
     double best_cost = 0.0;
     for (Worker* worker : candidates) {
-      // 1. Room, labels, a ticket, and how many of the step it may hold.
+      // 1. Hard constraints: capacity, label, ticket and tasks of the step per
+      // worker.
       const auto found = allocations.find(worker);
       const GangAllocation allocated =
           found == allocations.end() ? GangAllocation() : found->second;
@@ -343,7 +353,7 @@
           now >= worker->quarantined_until;
       if (!fits)
         continue;
-      // Nothing starts beside a task that is to be alone.
+      // Nothing starts beside a suspect's probe run, which must run alone.
       const bool conflicts_with_probe =
           worker->probes > 0 || allocated.has_probe ||
           (must_run_alone && allocated.members > 0) ||
@@ -357,7 +367,7 @@
           distribution.CountOnWorker(*worker) + allocated.members >=
               step.most_per_worker)
         continue;
-      // 2. What speaks against it.
+      // 2. Cost of the worker for this task.
       double cost =
           WorkerCost(*worker, now) + ColocationCost(*worker, suspicion);
       if (std::find(task.failed_on.begin(), task.failed_on.end(),
@@ -366,15 +376,16 @@
         cost += kFailedHereCost;
       if (!step.rack.empty() && worker->info.rack != step.rack)
         cost += kOtherRackCost;
-      // A gang is slower over several racks: keep to the first member's.
+      // A gang that spans several racks is slower: prefer the first member's
+      // rack.
       if (step.one_rack && !choices.empty() &&
           choices.front().worker->info.rack != worker->info.rack)
         cost += kOtherRackCost;
       if (step.lasting)
         cost +=
             kSameStepOnRackCost * distribution.CountElsewhereOnRack(*worker);
-      // What lasts pins its box to the pool: few boxes, which then take other
-      // work first, so that the rest can move.
+      // A long-running task pins its box to the pool. Concentrate such tasks on
+      // few boxes and fill these first, so that the other boxes can move.
       if (worker->lasting > 0)
         cost -= step.lasting ? kPinnedBoxBonusForLongRunning
                              : kPinnedBoxBonusForOthers;
@@ -459,7 +470,8 @@
     const auto run = worker.runs.find(id);
     if (run == worker.runs.end() || run->second.state != RunState::kPlanned)
       continue;
-    // The worker may have drained, died or lost room since the plan.
+    // The worker may have begun to drain, been lost or shrunk since the task
+    // was planned.
     if (!this->Usable(worker, now) || !FitsItsCapacity(worker)) {
       RemoveRun(worker, id);
       this->TaskLost(id, start.run, now);
@@ -467,7 +479,7 @@
     }
     run->second.state = RunState::kStarting;
     run->second.since = now;
-    // Its order grants a lease when it is sent, in a moment.
+    // The start order grants a lease when it is sent.
     worker.lease_end = std::max(worker.lease_end, now + kMaxOrderQueueTime);
     worker.next_look = std::min(worker.next_look, now);
     const bool resumes = StepOf(job, start.place).checkpoints;
