--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -1,4 +1,4 @@
-// Workers whose capacity changes while they run.
+// Tests workers whose capacity changes during operation.
 
 #include <string>
 #include <vector>
@@ -20,8 +20,8 @@
   return info;
 }
 
-// A placement was being recorded when its worker said that it had less room:
-// the start left all the same, over the room that was left.
+// Guards against overcommitting a worker: its capacity shrank while a placement
+// was being saved, and the start order was sent anyway.
 BOOST_AUTO_TEST_CASE(PlanThatDoesNotFitAnyMoreIsNotStarted) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
@@ -42,8 +42,8 @@
   BOOST_TEST(start.worker.id != planned);
 }
 
-// What runs over a room that has shrunk runs on and keeps others out; when the
-// room has grown again they come.
+// When a worker's capacity shrinks below its usage, the current runs go on and
+// no new ones start until the capacity has grown again.
 BOOST_AUTO_TEST_CASE(RoomThatShrankTakesNothingUntilItFits) {
   Bench bench(1);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
