--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -178,7 +178,7 @@
     const jobs::Step& step = StepOf(*job, PlaceOf(listed.task));
     run.reserved = step.each;
     run.quota_usage = step.each;
-    run.organisation_usage = &this->quotas.UseOf(job->organisation);
+    run.organisation_usage = &this->quotas.UsageOf(job->organisation);
     run.lasting = step.lasting;
     run.fills = step.fills;
     run.image = step.image;
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -1,4 +1,4 @@
-// Which ready task starts next, and on which worker.
+// Placement: which ready task starts next, and on which worker.
 
 #include <algorithm>
 #include <set>
@@ -12,45 +12,49 @@
 
 namespace {
 
-// After so many tasks in a row that fit nowhere the rest of the pool's queue
-// waits for the next turn: bounds a turn under overload.
-constexpr int kMissesATurn = 24;
-
-// An order leaves its queue within this; until then the run counts as leased.
-constexpr base::Micros kOrderLeaves = std::chrono::seconds(1);
-
-// Weights of a worker's cost for a task; the smallest sum wins. A task that
-// failed there goes elsewhere if anything else has room.
-constexpr double kFailedHere = 100.0;
-// The data lies on another rack: it takes longer there.
-constexpr double kOtherRack = 4.0;
-// Another task of the same lasting step sits on the rack: a lost rack is to
-// take few of them.
-constexpr double kSameStepOnRack = 3.0;
-// A worker that has failed runs lately, times its failure rate.
-constexpr double kFailing = 6.0;
-constexpr double kPinnedForLasting = 10.0;
-constexpr double kPinnedForOthers = 2.0;
-// A worker whose runs crawl.
-constexpr double kSlow = 5.0;
-// Beside a run that may crash the worker, whatever else has room is better.
-constexpr double kBesideSuspect = 3.0;
-// Suspects are kept apart, so that a second crash tells the cause from its
-// company, and lose as few other runs as can be.
-constexpr double kSuspectBesideSuspect = 12.0;
-constexpr double kLostWithSuspect = 0.5;
-// How full the worker is (0 to 1): the fullest that fits goes first, so that
-// others run empty and can move to the pools where work waits.
-constexpr double kFullness = -1.0;
+// After this many steps that cannot be placed the rest of the pool's queue
+// waits for the next turn. This bounds a turn's duration under overload.
+constexpr int kMaxMissesPerTurn = 24;
+
+// Upper bound on the time a start order waits to be sent. Until then the run
+// counts as covered by a lease.
+constexpr base::Micros kMaxOrderQueueTime = std::chrono::seconds(1);
+
+// Weights of a worker's cost for a task; the worker with the lowest sum is
+// chosen. A task that failed on a worker goes elsewhere if any other worker has
+// room.
+constexpr double kFailedHereCost = 100.0;
+// The task's data is on another rack, so the run takes longer.
+constexpr double kOtherRackCost = 4.0;
+// Each other task of the same long-running step on the rack: spreads them, so
+// that losing a rack stops few of them.
+constexpr double kSameStepOnRackCost = 3.0;
+// Multiplied by the worker's recent failure rate.
+constexpr double kFailureRateCost = 6.0;
+constexpr double kPinnedBoxBonusForLongRunning = 10.0;
+constexpr double kPinnedBoxBonusForOthers = 2.0;
+// The worker's runs progress slowly.
+constexpr double kSlowWorkerCost = 5.0;
+// A run that may crash the worker is already there; prefer any other worker.
+constexpr double kBesideSuspectCost = 3.0;
+// Suspects are kept apart, so that a second crash tells the cause from runs
+// that only shared the worker, and are placed beside few other runs, which a
+// crash would lose.
+constexpr double kSuspectBesideSuspectCost = 12.0;
+constexpr double kRunBesideSuspectCost = 0.5;
+// Multiplied by the worker's utilization (0 to 1). The fullest worker that fits
+// is preferred, so that other boxes become idle and can move to pools with
+// waiting work.
+constexpr double kUtilizationCost = -1.0;
 
 bool HasLabel(const WorkerInfo& info, const std::string& label) {
   return label.empty() || std::find(info.labels.begin(), info.labels.end(),
                                     label) != info.labels.end();
 }
 
-// What must be free of the quota before a task of the step is placed: the tasks
-// of a gang are placed together.
-jobs::Resources NeededBy(const jobs::Step& step) {
+// The quota needed to place a task of the step. The tasks of a gang are placed
+// together, so they need it all at once.
+jobs::Resources QuotaNeededBy(const jobs::Step& step) {
   if (!step.gang)
     return step.each;
   return {.cpu_millis = step.each.cpu_millis * step.tasks,
@@ -63,7 +67,7 @@
   return found == runs.advice.tickets.end() ? std::string() : found->second;
 }
 
-double Fullness(const Worker& worker) {
+double Utilization(const Worker& worker) {
   const auto& has = worker.info.capacity;
   if (has.cpu_millis <= 0)
     return 1.0;
@@ -71,36 +75,39 @@
          static_cast<double>(has.cpu_millis);
 }
 
-// Its capacity may have shrunk under what it runs and what is planned.
-bool HasRoomForAll(const Worker& worker) {
+// False if the worker's capacity has shrunk below what its current and planned
+// runs take.
+bool FitsItsCapacity(const Worker& worker) {
   return jobs::Fits(jobs::Resources(), worker.free_capacity());
 }
 
-// Where the placed tasks of a step are. Counted only for steps whose placement
-// looks at it: every other task is placed without a walk over its step.
-class StepSpread {
+// Number of a step's placed tasks per worker and per rack. Filled only for
+// steps whose placement depends on it, to avoid iterating over all tasks of
+// every other step.
+class StepDistribution {
  public:
-  StepSpread(const jobs::Step& step,
-             const StepRuns& runs,
-             const std::map<jobs::WorkerLife, Worker>& workers) {
+  StepDistribution(const jobs::Step& step,
+                   const StepRuns& runs,
+                   const std::map<jobs::WorkerLife, Worker>& workers) {
     if (!step.lasting && step.most_per_worker == 0)
       return;
     for (const Task& task : runs.tasks) {
       if (task.state != TaskState::kPlaced)
         continue;
-      ++this->on_worker[task.worker];
+      ++this->per_worker[task.worker];
       const auto worker = workers.find(task.worker);
       if (worker != workers.end())
-        ++this->on_rack[worker->second.info.rack];
+        ++this->per_rack[worker->second.info.rack];
     }
   }
 
-  int On(const Worker& worker) const {
-    return Count(this->on_worker, worker.info.life);
+  int CountOnWorker(const Worker& worker) const {
+    return Count(this->per_worker, worker.info.life);
   }
-  // On other workers of its rack.
-  int Beside(const Worker& worker) const {
-    return Count(this->on_rack, worker.info.rack) - this->On(worker);
+  // Tasks on other workers of the same rack.
+  int CountElsewhereOnRack(const Worker& worker) const {
+    return Count(this->per_rack, worker.info.rack) -
+           this->CountOnWorker(worker);
   }
 
  private:
@@ -110,15 +117,15 @@
     return found == counts.end() ? 0 : found->second;
   }
 
-  std::map<jobs::WorkerLife, int> on_worker;
-  std::map<std::string, int> on_rack;
+  std::map<jobs::WorkerLife, int> per_worker;
+  std::map<std::string, int> per_rack;
 };
 
-// A worker was lost under the task on this box: it may have been the box's own
-// fault, which another box tells.
-bool WasLostOn(const jobs::Progress& progress,
-               const TaskPlace& place,
-               const std::string& box) {
+// Whether a worker on this box was lost while it ran the task. The box may be
+// the cause, which a run on another box shows.
+bool WorkerWasLostOn(const jobs::Progress& progress,
+                     const TaskPlace& place,
+                     const std::string& box) {
   if (progress.losses.empty())
     return false;
   const auto found = progress.losses.find(KeyOf(place));
@@ -128,28 +135,29 @@
              [&box](const auto& entry) { return entry.second.box == box; });
 }
 
-// What speaks for keeping the task and what runs on the worker apart, lest one
-// of them crashes the worker.
-double CostOfCompany(const Worker& worker, Suspicion suspicion) {
+// Cost of placing the task beside the worker's runs, when one of them may crash
+// the worker.
+double ColocationCost(const Worker& worker, Suspicion suspicion) {
   if (suspicion == Suspicion::kNone)
-    return worker.suspect_runs > 0 ? kBesideSuspect : 0.0;
-  return kSuspectBesideSuspect * worker.suspect_runs +
-         kLostWithSuspect * static_cast<double>(worker.runs.size());
+    return worker.suspect_runs > 0 ? kBesideSuspectCost : 0.0;
+  return kSuspectBesideSuspectCost * worker.suspect_runs +
+         kRunBesideSuspectCost * static_cast<double>(worker.runs.size());
 }
 
-// What members of a gang have been given so far, while others are chosen.
-struct GangShare {
-  jobs::Resources takes;
+// What a worker has been allocated for a gang's members while workers for the
+// other members are being chosen.
+struct GangAllocation {
+  jobs::Resources resources;
   int members = 0;
-  bool has_probe = false;  // one of them is to start alone
+  bool has_probe = false;  // one of them must start alone
 };
 
-// What speaks against a worker of its own, whatever the task: the smallest
-// sum wins.
-double CostOf(const Worker& worker, base::Micros now) {
-  double cost = kFullness * Fullness(worker) + kFailing * worker.failure_rate;
+// The part of a worker's cost that does not depend on the task.
+double WorkerCost(const Worker& worker, base::Micros now) {
+  double cost = kUtilizationCost * Utilization(worker) +
+                kFailureRateCost * worker.failure_rate;
   if (now < worker.slow_until)
-    cost += kSlow;
+    cost += kSlowWorkerCost;
   return cost;
 }
 
@@ -163,8 +171,8 @@
          worker.clock_ms > 0 && !this->fleet.IsLeaving(worker.info.box);
 }
 
-// A later owner may have renewed a lease that seems to be over here, unless the
-// store has confirmed this owner since.
+// A later owner may have renewed a lease that this owner sees as expired,
+// unless the store has confirmed this ownership since.
 bool Scheduler::MayHaveBeenRenewed(const Job& job,
                                    const TaskPlace& place) const {
   const StepRuns& runs = StepAt(job, place);
@@ -180,7 +188,7 @@
 int Scheduler::NextRun(const Job& job, const TaskPlace& place) const {
   const StepRuns& runs = StepAt(job, place);
   int newest = 0;
-  // The members of a gang share the number.
+  // The members of a gang share the run number.
   if (StepOf(job, place).gang) {
     for (const Task& task : runs.tasks)
       newest = std::max(newest, task.newest_run);
@@ -193,7 +201,7 @@
 }
 
 void Scheduler::Place(base::Micros now) {
-  this->quotas.BeginTurn();
+  this->quotas.ResetRefused();
   for (auto& [service, tasks] : this->ready) {
     if (!tasks.empty())
       this->PlacePool(service, tasks, now);
@@ -203,7 +211,7 @@
 void Scheduler::PlacePool(const std::string& service,
                           ReadyTasks& tasks,
                           base::Micros now) {
-  // 1. The pool's workers that may take something.
+  // 1. Collect the pool's usable workers.
   PoolTurn turn;
   for (auto& [id, worker] : this->workers) {
     if (worker.info.service == service && this->Usable(worker, now))
@@ -211,52 +219,54 @@
   }
   if (turn.candidates.empty())
     return;
-  // 2. Its tasks, by what may still come of them.
-  tasks.Try(now, [&](const ReadyTask& task) {
+  // 2. Attempt the pool's ready tasks in scheduling order.
+  tasks.TryInOrder(now, [&](const ReadyTask& task) {
     return this->TryTask(task, turn, now);
   });
 }
 
-// Equal tasks of a step that fits nowhere are passed over.
-ReadyTasks::Tried Scheduler::TryTask(const ReadyTask& task,
-                                     PoolTurn& turn,
-                                     base::Micros now) {
-  using Tried = ReadyTasks::Tried;
-  if (turn.misses >= kMissesATurn)
-    return Tried::kStop;
+// After one task of a step fits no worker, the step's other tasks are skipped
+// for this turn: they have the same requirements.
+ReadyTasks::AttemptResult Scheduler::TryTask(const ReadyTask& task,
+                                             PoolTurn& turn,
+                                             base::Micros now) {
+  using AttemptResult = ReadyTasks::AttemptResult;
+  if (turn.misses >= kMaxMissesPerTurn)
+    return AttemptResult::kStop;
   Job& job = *task.job;
-  const bool wanted =
+  const bool is_startable =
       !job.finished() && TaskAt(job, task.place).state == TaskState::kReady;
-  if (!wanted)
-    return Tried::kUnwanted;
+  if (!is_startable)
+    return AttemptResult::kObsolete;
   const auto step = std::make_pair(&job, task.place.step);
   const auto nowhere = turn.nowhere.find(step);
   if (nowhere != turn.nowhere.end()) {
     TaskAt(job, task.place).waits_for = nowhere->second;
-    return Tried::kStays;
+    return AttemptResult::kKept;
   }
   const Suspicion suspicion = this->SuspicionOfStart(job, task.place, now);
   if (suspicion == Suspicion::kGiveUp) {
     this->GiveUpCauses(job, now);
-    return Tried::kUnwanted;
+    return AttemptResult::kObsolete;
   }
   const std::optional<WaitReason> reason =
       this->PlaceOne(task, suspicion, turn.candidates, now);
   if (!reason)
-    return Tried::kPlaced;
+    return AttemptResult::kPlaced;
   TaskAt(job, task.place).waits_for = *reason;
-  // What waits for its organisation's quota, or for a worker that runs nothing,
-  // holds up nobody else: neither of its step nor of the pool.
-  const bool is_its_own =
+  // A task that waits for quota, or for an idle worker because it is a suspect,
+  // says nothing about other tasks: it neither blocks its step nor counts as a
+  // miss.
+  const bool blocks_only_itself =
       *reason == WaitReason::kQuota || *reason == WaitReason::kSuspect;
-  if (is_its_own)
-    return Tried::kStays;
+  if (blocks_only_itself)
+    return AttemptResult::kKept;
   turn.nowhere[step] = *reason;
   ++turn.misses;
-  return Tried::kStays;
+  return AttemptResult::kKept;
 }
 
-// Why it has not been placed; nothing if it has.
+// Returns why the task was not placed, or nullopt if it was.
 std::optional<WaitReason> Scheduler::PlaceOne(
     const ReadyTask& ready_task,
     Suspicion suspicion,
@@ -266,7 +276,7 @@
   const jobs::Step& step = StepOf(job, ready_task.place);
   if (suspicion >= Suspicion::kDeferred)
     return WaitReason::kSuspect;
-  if (!this->quotas.Allows(job.organisation, NeededBy(step)))
+  if (!this->quotas.Allows(job.organisation, QuotaNeededBy(step)))
     return WaitReason::kQuota;
   if (this->MayHaveBeenRenewed(job, ready_task.place))
     return WaitReason::kLease;
@@ -286,23 +296,25 @@
   return std::nullopt;
 }
 
-// Has any worker, of whatever pool, its label and, empty, room for it? Of boxes
-// at rest it is not known.
+// Whether a worker of any pool has the label and enough total capacity. Assumed
+// true if there is a spare pool, because the capacity of boxes at rest is
+// unknown.
 bool Scheduler::SuitsSomeWorker(const jobs::Step& step) const {
-  const bool has_spares =
+  const bool has_spare_pool =
       std::any_of(this->config.services.begin(), this->config.services.end(),
                   [](const jobs::Service& service) { return service.spare; });
   const jobs::Resources takes = TakenBy(step);
-  return has_spares || std::any_of(this->workers.begin(), this->workers.end(),
-                                   [&](const auto& entry) {
-                                     const WorkerInfo& info = entry.second.info;
-                                     return HasLabel(info, step.label) &&
-                                            jobs::Fits(takes, info.capacity);
-                                   });
+  return has_spare_pool ||
+         std::any_of(this->workers.begin(), this->workers.end(),
+                     [&](const auto& entry) {
+                       const WorkerInfo& info = entry.second.info;
+                       return HasLabel(info, step.label) &&
+                              jobs::Fits(takes, info.capacity);
+                     });
 }
 
-// One worker for a task, or one for each member of a gang; nothing if it, or
-// any member, fits nowhere.
+// Chooses one worker for the task, or one for each member of a gang. Returns
+// nothing if the task or any member fits no worker.
 std::vector<Scheduler::Choice> Scheduler::ChooseFor(
     const Job& job,
     const TaskPlace& place,
@@ -311,9 +323,10 @@
   const jobs::Step& step = StepOf(job, place);
   const StepRuns& runs = StepAt(job, place);
   const jobs::Resources takes = TakenBy(step);
-  const StepSpread spread(step, runs, this->workers);
+  const StepDistribution distribution(step, runs, this->workers);
   std::vector<Choice> choices;
-  std::map<const Worker*, GangShare> given;  // to earlier members of the gang
+  // For the gang members chosen so far.
+  std::map<const Worker*, GangAllocation> allocations;
   const int first = step.gang ? 0 : place.index;
   const int last =
       step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
@@ -324,52 +337,59 @@
     const TaskPlace member{
         .occurrence = place.occurrence, .step = place.step, .index = i};
     const Suspicion suspicion = this->SuspicionOf(job, member, now);
-    const bool alone = suspicion == Suspicion::kProbe;
+    const bool must_run_alone = suspicion == Suspicion::kProbe;
     const bool waits_for_idle =
-        alone && now - task.ready_since < kIdleWorkerWait;
+        must_run_alone && now - task.ready_since < kIdleWorkerWait;
     Worker* best = nullptr;
     double best_cost = 0.0;
     for (Worker* worker : candidates) {
-      // 1. Room, labels, a ticket, and how many of the step it may hold.
-      const auto earlier = given.find(worker);
-      const GangShare share =
-          earlier == given.end() ? GangShare() : earlier->second;
+      // 1. Hard constraints: capacity, label, ticket and tasks of the step per
+      // worker.
+      const auto found = allocations.find(worker);
+      const GangAllocation allocated =
+          found == allocations.end() ? GangAllocation() : found->second;
       const bool fits =
-          jobs::Fits(takes + share.takes, worker->free_capacity()) &&
+          jobs::Fits(takes + allocated.resources, worker->free_capacity()) &&
           HasLabel(worker->info, step.label) &&
           now >= worker->quarantined_until;
       if (!fits)
         continue;
-      // Nothing starts beside a task that is to be alone.
-      const bool is_shared = worker->probe_runs > 0 || share.has_probe ||
-                             (alone && share.members > 0) ||
-                             (waits_for_idle && !worker->idle());
-      if (is_shared)
+      // Nothing starts beside a suspect's probe run, which must run alone.
+      const bool conflicts_with_probe =
+          worker->probe_runs > 0 || allocated.has_probe ||
+          (must_run_alone && allocated.members > 0) ||
+          (waits_for_idle && !worker->idle());
+      if (conflicts_with_probe)
         continue;
       if (job.queue.advice.required &&
           !runs.advice.tickets.contains(worker->info.life))
         continue;
       if (step.most_per_worker > 0 &&
-          spread.On(*worker) + share.members >= step.most_per_worker)
+          distribution.CountOnWorker(*worker) + allocated.members >=
+              step.most_per_worker)
         continue;
-      // 2. What speaks against it.
-      double cost = CostOf(*worker, now) + CostOfCompany(*worker, suspicion);
+      // 2. Cost of the worker for this task.
+      double cost =
+          WorkerCost(*worker, now) + ColocationCost(*worker, suspicion);
       if (std::find(task.failed_on.begin(), task.failed_on.end(),
                     worker->info.life) != task.failed_on.end() ||
-          WasLostOn(job.progress, member, worker->info.box))
-        cost += kFailedHere;
+          WorkerWasLostOn(job.progress, member, worker->info.box))
+        cost += kFailedHereCost;
       if (!step.rack.empty() && worker->info.rack != step.rack)
-        cost += kOtherRack;
-      // A gang is slower over several racks: keep to the first member's.
+        cost += kOtherRackCost;
+      // A gang that spans several racks is slower: prefer the first member's
+      // rack.
       if (step.one_rack && !choices.empty() &&
           choices.front().worker->info.rack != worker->info.rack)
-        cost += kOtherRack;
+        cost += kOtherRackCost;
       if (step.lasting)
-        cost += kSameStepOnRack * spread.Beside(*worker);
-      // What lasts pins its box to the pool: few boxes, which then take other
-      // work first, so that the rest can move.
+        cost +=
+            kSameStepOnRackCost * distribution.CountElsewhereOnRack(*worker);
+      // A long-running task pins its box to the pool. Concentrate such tasks on
+      // few boxes and fill these first, so that the other boxes can move.
       if (worker->lasting_runs > 0)
-        cost -= step.lasting ? kPinnedForLasting : kPinnedForOthers;
+        cost -= step.lasting ? kPinnedBoxBonusForLongRunning
+                             : kPinnedBoxBonusForOthers;
       if (!best || cost < best_cost) {
         best = worker;
         best_cost = cost;
@@ -378,10 +398,10 @@
     if (!best)
       return {};
     if (step.gang) {
-      GangShare& share = given[best];
-      share.takes = share.takes + takes;
-      ++share.members;
-      share.has_probe = alone;
+      GangAllocation& allocated = allocations[best];
+      allocated.resources = allocated.resources + takes;
+      ++allocated.members;
+      allocated.has_probe = must_run_alone;
     }
     choices.push_back({.place = member, .worker = best});
   }
@@ -395,7 +415,7 @@
   Run run{.number = number, .state = state};
   run.reserved = TakenBy(step);
   run.quota_usage = step.each;
-  run.organisation_usage = &this->quotas.UseOf(job.organisation);
+  run.organisation_usage = &this->quotas.UsageOf(job.organisation);
   run.image = step.image;
   run.lasting = step.lasting;
   run.fills = step.fills;
@@ -435,10 +455,10 @@
 }
 
 void Scheduler::StartSaved(Job& job, base::Micros now) {
-  std::vector<PendingStart> later;
+  std::vector<PendingStart> not_yet_saved;
   for (const PendingStart& start : std::exchange(job.pending_starts, {})) {
     if (start.change > job.saved_change) {
-      later.push_back(start);
+      not_yet_saved.push_back(start);
       continue;
     }
     const Task& task = TaskAt(job, start.place);
@@ -451,17 +471,18 @@
     const auto run = worker.runs.find(id);
     if (run == worker.runs.end() || run->second.state != RunState::kPlanned)
       continue;
-    // The worker may have drained, died or lost room since the plan.
-    if (!this->Usable(worker, now) || !HasRoomForAll(worker)) {
+    // The worker may have begun to drain, been lost or shrunk since the task
+    // was planned.
+    if (!this->Usable(worker, now) || !FitsItsCapacity(worker)) {
       RemoveRun(worker, id);
       this->TaskLost(id, start.run, now);
       continue;
     }
     run->second.state = RunState::kStarting;
     run->second.decided_at = now;
-    // Its order grants a lease when it is sent, in a moment.
+    // The start order grants a lease when it is sent.
     worker.latest_lease_end =
-        std::max(worker.latest_lease_end, now + kOrderLeaves);
+        std::max(worker.latest_lease_end, now + kMaxOrderQueueTime);
     worker.next_poll_at = std::min(worker.next_poll_at, now);
     const bool resumes = StepOf(job, start.place).checkpoints;
     this->actions.emplace_back(
@@ -472,7 +493,7 @@
                  .checkpoint = resumes ? task.checkpoint : std::string(),
                  .ticket = TicketFor(StepAt(job, start.place), task.worker)});
   }
-  job.pending_starts = std::move(later);
+  job.pending_starts = std::move(not_yet_saved);
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/quotas_test.cc
+++ b/scheduler/quotas_test.cc
@@ -1,4 +1,4 @@
-// Which runs an organisation's quota lets begin.
+// Tests which runs an organisation's quota admits.
 
 #include <boost/test/unit_test.hpp>
 
@@ -7,45 +7,46 @@
 namespace quartzhoist::scheduler {
 namespace {
 
-jobs::Organisation Bees(const jobs::Resources& quota) {
+jobs::Organisation BeesWithQuota(const jobs::Resources& quota) {
   return {.name = "bees", .keys = {}, .jobs_a_second = 0, .quota = quota};
 }
 
 constexpr jobs::Resources kTask{.cpu_millis = 1000, .memory_mb = 100};
 
-// Begins tasks until none may; how many.
+// Starts tasks until the quota refuses one. Returns how many started.
 int Fill(Quotas& quotas, const jobs::Resources& task) {
-  int begun = 0;
-  while (begun < 1000 && quotas.Allows("bees", task)) {
-    jobs::Resources& used = quotas.UseOf("bees");
+  int started = 0;
+  while (started < 1000 && quotas.Allows("bees", task)) {
+    jobs::Resources& used = quotas.UsageOf("bees");
     used = used + task;
-    ++begun;
+    ++started;
   }
-  return begun;
+  return started;
 }
 
 BOOST_AUTO_TEST_CASE(ShareOfTheQuotaIsTheLimit) {
   Quotas quotas;
-  quotas.SetOrganisations({Bees({.cpu_millis = 10'000})});
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 10'000})});
   BOOST_TEST(Fill(quotas, kTask) == 0);
   quotas.SetShare("bees", 500);
   BOOST_TEST(Fill(quotas, kTask) == 5);
-  // With more than half, one task more than the share.
+  // A shard with more than half of the quota may exceed its share by one task.
   quotas.SetShare("bees", 750);
   BOOST_TEST(Fill(quotas, kTask) == 3);
   BOOST_TEST(quotas.Needs().at("bees").used == 800);
-  // A quota that is cut far below what runs lets nothing begin.
-  quotas.SetOrganisations({Bees({.cpu_millis = 2'000})});
+  // With the quota cut far below the current usage nothing may start.
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 2'000})});
   BOOST_TEST(Fill(quotas, kTask) == 0);
   BOOST_TEST(quotas.Needs().at("bees").used == 4000);
 }
 
-BOOST_AUTO_TEST_CASE(EveryKindIsLimitedAndWhoHasNoQuotaIsNot) {
+BOOST_AUTO_TEST_CASE(EveryResourceIsLimitedOnlyByASetQuota) {
   Quotas quotas;
   quotas.SetOrganisations(
-      {Bees({.cpu_millis = 10'000, .memory_mb = 250}), {.name = "free"}});
+      {BeesWithQuota({.cpu_millis = 10'000, .memory_mb = 250}),
+       {.name = "free"}});
   quotas.SetShare("bees", kWholeQuota);
-  // One beyond what fits.
+  // Two tasks fit, and one more may exceed the quota.
   BOOST_TEST(Fill(quotas, kTask) == 3);
   BOOST_TEST(quotas.Allows("free", {.cpu_millis = 1'000'000}));
   BOOST_TEST(quotas.Allows("", {.cpu_millis = 1'000'000}));
@@ -54,7 +55,7 @@
 
 BOOST_AUTO_TEST_CASE(TaskLargerThanTheQuotaRunsAlone) {
   Quotas quotas;
-  quotas.SetOrganisations({Bees({.cpu_millis = 500})});
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 500})});
   quotas.SetShare("bees", 500);
   BOOST_TEST(Fill(quotas, kTask) == 0);
   BOOST_TEST(quotas.Needs().at("bees").wanted >= kWholeQuota);
@@ -62,14 +63,14 @@
   BOOST_TEST(Fill(quotas, kTask) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsRefusedIsWantedUntilTheNextTurn) {
+BOOST_AUTO_TEST_CASE(RefusedAmountIsWantedUntilReset) {
   Quotas quotas;
-  quotas.SetOrganisations({Bees({.cpu_millis = 10'000})});
+  quotas.SetOrganisations({BeesWithQuota({.cpu_millis = 10'000})});
   quotas.SetShare("bees", 100);
   BOOST_TEST(quotas.Allows("bees", kTask));
   BOOST_TEST(!quotas.Allows("bees", {.cpu_millis = 3000}));
   BOOST_TEST(quotas.Needs().at("bees").wanted == 300);
-  quotas.BeginTurn();
+  quotas.ResetRefused();
   BOOST_TEST(quotas.Needs().at("bees").wanted == 0);
 }
 
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -72,7 +72,7 @@
     this->MeetJob(job, now);
     return;
   }
-  job.beyond_due = !this->due_shares.Take(job.organisation, now);
+  job.beyond_due = !this->due_shares.Consume(job.organisation, now);
   if (job.spec.repeats > 0)
     this->timed.insert(job.id);
   double core_seconds = 0.0;
@@ -118,7 +118,7 @@
 base::Micros Scheduler::ExpectedRun(const Job& job,
                                     const jobs::Step& step) const {
   const std::string& kind = step.image.empty() ? job.queue.name : step.image;
-  return this->run_times.Expect(kind, milliseconds(step.estimate_ms));
+  return this->run_times.Estimate(kind, milliseconds(step.estimate_ms));
 }
 
 // The longest chain of steps that begins with this one, or, from the number of
@@ -172,13 +172,13 @@
   const bool begun = job.begun || place.step > 0;
   this->ready[job.queue.service].Insert(
       {.priority = job.queue.priority,
-       .prospect = lasting          ? Prospect::kLasting
-                   : begun          ? Prospect::kBegun
-                   : job.beyond_due ? Prospect::kBeyond
-                                    : Prospect::kWaiting,
-       .in_time = lasting ? now : since + objective - left,
-       .of_use = since + kOfUseTimes * objective - left,
-       .number = ++this->ready_number,
+       .scheduling_class = lasting          ? SchedulingClass::kLongRunning
+                           : begun          ? SchedulingClass::kStarted
+                           : job.beyond_due ? SchedulingClass::kOverRate
+                                            : SchedulingClass::kNotStarted,
+       .soft_deadline = lasting ? now : since + objective - left,
+       .firm_deadline = since + kOfUseTimes * objective - left,
+       .sequence = ++this->ready_number,
        .job = &job,
        .place = place});
 }
