--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -56,8 +56,8 @@
   limits.longest_lease = WithClockSlack(settings.longest_lease);
   limits.stop_time = settings.stop_time;
   limits.epoch = epoch;
-  limits.fleet = {.move_time = settings.move_time,
-                  .upkeep_time = settings.upkeep_time};
+  limits.fleet = {.move_duration = settings.move_time,
+                  .upkeep_duration = settings.upkeep_time};
   return limits;
 }
 
--- a/scheduler/allotment.cc
+++ b/scheduler/allotment.cc
@@ -7,28 +7,28 @@
 
 namespace quartzhoist::scheduler {
 
-std::map<std::string, double> AllotCores(const std::vector<FleetPool>& pools,
-                                         double total_cores,
-                                         double box_cores) {
+std::map<std::string, double> AllocateCores(const std::vector<FleetPool>& pools,
+                                            double total_cores,
+                                            double box_cores) {
   std::map<std::string, double> allotted;
   std::set<int> priorities;
   double left = total_cores;
   // What of the least boxes no work has taken up yet.
   std::map<std::string, double> unused;
   for (const FleetPool& pool : pools) {
-    const double least = std::min(left, pool.least_boxes * box_cores);
+    const double least = std::min(left, pool.min_boxes * box_cores);
     allotted[pool.name] = least;
     unused[pool.name] = least;
     left -= least;
-    for (const auto& [priority, need] : pool.needs)
+    for (const auto& [priority, need] : pool.demand)
       priorities.insert(priority);
   }
-  const auto share = [&](int priority, double PoolNeed::*what) {
+  const auto share = [&](int priority, double PoolDemand::*what) {
     std::map<std::string, double> wanted;
     double all_wanted = 0.0;
     for (const FleetPool& pool : pools) {
-      const auto need = pool.needs.find(priority);
-      if (need == pool.needs.end())
+      const auto need = pool.demand.find(priority);
+      if (need == pool.demand.end())
         continue;
       double& free = unused[pool.name];
       const double covered = std::min(free, need->second.*what);
@@ -44,8 +44,8 @@
     left -= part * all_wanted;
   };
   for (const int priority : priorities) {
-    share(priority, &PoolNeed::now_cores);
-    share(priority, &PoolNeed::soon_cores);
+    share(priority, &PoolDemand::current_cores);
+    share(priority, &PoolDemand::expected_cores);
   }
   return allotted;
 }
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -43,7 +43,7 @@
 
 FleetView Scheduler::ViewFleet(base::Micros now) {
   FleetView view;
-  std::map<std::string, std::map<int, PoolNeed>> needs;
+  std::map<std::string, std::map<int, PoolDemand>> demand_by_pool;
   for (const auto& [id, worker] : this->workers) {
     FleetBox box;
     box.name = worker.info.box;
@@ -51,14 +51,14 @@
     box.worker = id;
     // A lease that ran out in these books may have been renewed by another
     // owner: only an answer says that the box is empty.
-    box.up = worker.announced && worker.is_described && worker.listed &&
-             !worker.info.draining && !worker.runs_presumed_over;
+    box.available = worker.announced && worker.is_described && worker.listed &&
+                    !worker.info.draining && !worker.runs_presumed_over;
     box.idle = worker.idle();
     box.cores = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0;
     box.busy_cores = static_cast<double>(worker.used.cpu_millis) / 1000.0;
-    box.lasting = worker.lasting;
+    box.long_running_tasks = worker.lasting;
     for (const auto& [task, run] : worker.runs) {
-      needs[box.pool][this->PriorityOf(task)].now_cores +=
+      demand_by_pool[box.pool][this->PriorityOf(task)].current_cores +=
           static_cast<double>(run.takes.cpu_millis) / 1000.0;
     }
     view.boxes.push_back(std::move(box));
@@ -67,21 +67,22 @@
     for (const ReadyTask& task : tasks) {
       const jobs::Step& step = StepOf(*task.job, task.place);
       if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.place)))
-        needs[service][task.priority].now_cores +=
+        demand_by_pool[service][task.priority].current_cores +=
             static_cast<double>(step.each.cpu_millis) / 1000.0;
     }
   }
   for (const jobs::Queue& queue : this->config.queues) {
     const double slope = std::max(0.0, this->demand.Slope(queue.name, now));
-    needs[queue.service][queue.priority].soon_cores += kSlopeWeight * slope;
+    demand_by_pool[queue.service][queue.priority].expected_cores +=
+        kSlopeWeight * slope;
   }
   std::map<std::string, int> least = this->LeastBoxes();
   this->AddForStuckTasks(now, view, least);
   for (const jobs::Service& service : this->config.services) {
     view.pools.push_back({.name = service.name,
                           .spare = service.spare,
-                          .needs = needs[service.name],
-                          .least_boxes = least[service.name]});
+                          .demand = demand_by_pool[service.name],
+                          .min_boxes = least[service.name]});
   }
   return view;
 }
@@ -135,7 +136,7 @@
     double cores = 0.0;
     double taken = 0.0;
     for (const FleetBox& box : view.boxes) {
-      if (box.pool != service || !box.up)
+      if (box.pool != service || !box.available)
         continue;
       ++boxes;
       cores += box.cores;
@@ -167,7 +168,7 @@
   this->fleet.SetWave(wave, begun, now);
   for (const auto& [id, worker] : this->workers) {
     if (worker.listed)
-      this->fleet.BoxAnswered(worker.info.box);
+      this->fleet.OnBoxAnswered(worker.info.box);
   }
 }
 
@@ -186,7 +187,7 @@
 void Scheduler::Moved(const MoveBox& order,
                       BoxCallOutcome outcome,
                       base::Micros now) {
-  this->fleet.Moved(order, outcome, now);
+  this->fleet.OnMoveOutcome(order, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
@@ -196,7 +197,7 @@
 void Scheduler::UpkeepBegun(const UpkeepBox& order,
                             BoxCallOutcome outcome,
                             base::Micros now) {
-  this->fleet.UpkeepBegun(order, outcome, now);
+  this->fleet.OnUpkeepOutcome(order, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
@@ -205,7 +206,7 @@
 
 // All that ran on the box is over once the platform has taken it.
 void Scheduler::BoxTaken(const std::string& box, base::Micros now) {
-  const jobs::WorkerLife life = this->fleet.LifeBefore(box);
+  const jobs::WorkerLife life = this->fleet.WorkerBeforeCall(box);
   if (!life.empty())
     this->LifeIsOver(life, LossSign::kBoxTaken, now);
 }
@@ -294,8 +295,8 @@
   if (now < this->next_fleet)
     return;
   this->next_fleet = now + kFleetPeriod;
-  for (FleetStep& step : this->fleet.Plan(this->ViewFleet(now), now)) {
-    if (const auto* evacuate = std::get_if<Evacuate>(&step)) {
+  for (FleetAction& step : this->fleet.Plan(this->ViewFleet(now), now)) {
+    if (const auto* evacuate = std::get_if<EvacuateBox>(&step)) {
       this->StopForEvacuation(evacuate->box, now);
     } else if (auto* move = std::get_if<MoveBox>(&step)) {
       move->evidence = this->EvidenceOf(move->box, now);
--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-Fleet::Fleet(const FleetLimits& chosen) : limits(chosen) {}
+FleetPlanner::FleetPlanner(const FleetTimings& chosen) : limits(chosen) {}
 
-void Fleet::Inherit(const MoveBox& call, base::Micros now) {
+void FleetPlanner::Inherit(const MoveBox& call, base::Micros now) {
   this->moves[call.box] = {.pool = call.pool,
                            .worker_before = call.life,
                            .since = now,
@@ -36,7 +36,7 @@
 }
 
 // Counted as away from here on: the earlier owner's call may be on its way.
-void Fleet::Inherit(const UpkeepBox& call, base::Micros now) {
+void FleetPlanner::Inherit(const UpkeepBox& call, base::Micros now) {
   WaveProgress& progress = this->waves[call.wave];
   progress.wave.number = call.wave;
   progress.boxes[call.box] = {.state = UpkeepState::kCalling,
@@ -49,27 +49,27 @@
 // An earlier owner calls for empty boxes only, and places nothing on them
 // before its call is settled: on a box where something runs the call was given
 // up, or carried out long ago. One that nobody hears may be on its way.
-Fleet::Inherited Fleet::JudgeInherited(const BoxesByName& boxes,
-                                       const std::string& box) {
+FleetPlanner::Inherited FleetPlanner::JudgeInherited(const BoxesByName& boxes,
+                                                     const std::string& box) {
   const auto found = boxes.find(box);
-  if (found == boxes.end() || !found->second->up)
+  if (found == boxes.end() || !found->second->available)
     return Inherited::kWaits;
   return found->second->idle ? Inherited::kMayBeMade : Inherited::kIsVoid;
 }
 
 // A worker that crashed may have started again just before its box was taken:
 // that life announces itself while the box is away.
-void Fleet::BoxSeen(const std::string& box,
-                    const jobs::WorkerLife& worker,
-                    const std::string& pool,
-                    base::Micros now) {
+void FleetPlanner::OnBoxAnnounced(const std::string& box,
+                                  const jobs::WorkerLife& worker,
+                                  const std::string& pool,
+                                  base::Micros now) {
   for (auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
       continue;
     Upkeep& upkeep = found->second;
     const bool can_be_back =
-        now >= upkeep.first_call + LeastTimeAway(this->limits.upkeep_time);
+        now >= upkeep.first_call + LeastTimeAway(this->limits.upkeep_duration);
     if (upkeep.state == UpkeepState::kDown && can_be_back &&
         jobs::IsOtherLife(upkeep.worker_before, worker))
       upkeep.state = UpkeepState::kDone;
@@ -78,9 +78,9 @@
   if (move == this->moves.end() ||
       !jobs::IsOtherLife(move->second.worker_before, worker))
     return;
-  const bool can_be_back =
-      pool == move->second.pool &&
-      now >= move->second.first_call + LeastTimeAway(this->limits.move_time);
+  const bool can_be_back = pool == move->second.pool &&
+                           now >= move->second.first_call +
+                                      LeastTimeAway(this->limits.move_duration);
   if (!can_be_back)
     return;
   if (move->second.done)
@@ -89,9 +89,9 @@
     move->second.arrived = true;
 }
 
-void Fleet::SetBoxes(const std::vector<BoxInfo>& boxes,
-                     base::Micros asked,
-                     base::Micros now) {
+void FleetPlanner::SetBoxes(const std::vector<BoxInfo>& boxes,
+                            base::Micros asked,
+                            base::Micros now) {
   this->listed.clear();
   for (const BoxInfo& box : boxes)
     this->listed[box.name] = box;
@@ -103,9 +103,9 @@
   this->CompareWavesWithList(asked, now);
 }
 
-void Fleet::Moved(const MoveBox& order,
-                  BoxCallOutcome outcome,
-                  base::Micros now) {
+void FleetPlanner::OnMoveOutcome(const MoveBox& order,
+                                 BoxCallOutcome outcome,
+                                 base::Micros now) {
   const auto found = this->moves.find(order.box);
   if (found == this->moves.end())
     return;
@@ -136,7 +136,7 @@
 
 // Boxes at rest run nothing that would announce itself: the platform's list
 // alone knows them.
-FleetView Fleet::WithBoxesAtRest(const FleetView& seen) const {
+FleetView FleetPlanner::WithBoxesAtRest(const FleetView& seen) const {
   FleetView view = seen;
   std::set<std::string> known;
   for (const FleetBox& box : seen.boxes)
@@ -153,9 +153,9 @@
       view.boxes.push_back({.name = name,
                             .pool = info.pool,
                             .worker = {.id = info.worker},
-                            .up = true,
+                            .available = true,
                             .idle = true,
-                            .lasting = 0,
+                            .long_running_tasks = 0,
                             .cores = info.cores,
                             .busy_cores = 0.0});
     }
@@ -163,9 +163,10 @@
   return view;
 }
 
-std::vector<FleetStep> Fleet::Plan(const FleetView& seen, base::Micros now) {
+std::vector<FleetAction> FleetPlanner::Plan(const FleetView& seen,
+                                            base::Micros now) {
   const FleetView view = this->WithBoxesAtRest(seen);
-  std::vector<FleetStep> steps;
+  std::vector<FleetAction> steps;
   BoxesByName boxes;
   for (const FleetBox& box : view.boxes)
     boxes[box.name] = &box;
@@ -178,9 +179,9 @@
   return steps;
 }
 
-void Fleet::RepeatMoves(const BoxesByName& boxes,
-                        base::Micros now,
-                        std::vector<FleetStep>& steps) {
+void FleetPlanner::RepeatMoves(const BoxesByName& boxes,
+                               base::Micros now,
+                               std::vector<FleetAction>& steps) {
   for (auto it = this->moves.begin(); it != this->moves.end();) {
     Move& move = it->second;
     const Inherited inherited = move.is_inherited
@@ -203,14 +204,15 @@
 }
 
 // What each pool has, boxes on their way to it included.
-std::map<std::string, double> Fleet::CoresHeld(const FleetView& view) const {
+std::map<std::string, double> FleetPlanner::CoresHeld(
+    const FleetView& view) const {
   std::map<std::string, double> held;
   for (const FleetPool& pool : view.pools)
     held[pool.name] = 0.0;
   for (const FleetBox& box : view.boxes) {
     const auto move = this->moves.find(box.name);
     const bool moves_now = move != this->moves.end();
-    if ((box.up || moves_now) && !this->InUpkeep(box.name))
+    if ((box.available || moves_now) && !this->InUpkeep(box.name))
       held[moves_now ? move->second.pool : box.pool] += box.cores;
   }
   return held;
@@ -219,9 +221,9 @@
 // An idle box goes from a pool that has more than its allotment to the one that
 // is shortest; boxes at rest come last, since those in pools are paid for
 // anyway. Where no box is idle, some are kept free of further work.
-void Fleet::PlanMoves(const FleetView& view,
-                      base::Micros now,
-                      std::vector<FleetStep>& steps) {
+void FleetPlanner::PlanMoves(const FleetView& view,
+                             base::Micros now,
+                             std::vector<FleetAction>& steps) {
   this->reclaimed.clear();
   // 1. What each pool has beyond its allotment.
   std::map<std::string, double> surplus = this->CoresHeld(view);
@@ -239,7 +241,7 @@
       asking.push_back(pool);
   }
   const std::map<std::string, double> allotted =
-      AllotCores(asking, total_cores * kFill, box_cores * kFill);
+      AllocateCores(asking, total_cores * kFill, box_cores * kFill);
   for (const FleetPool& pool : asking)
     surplus[pool.name] -= allotted.at(pool.name) / kFill;
   // 2. The shortest pool gets a box, until none is short or none can give.
@@ -275,22 +277,24 @@
   this->Reclaim(view, surplus, short_cores);
 }
 
-const FleetBox* Fleet::FindDonor(const FleetView& view,
-                                 const std::map<std::string, double>& surplus,
-                                 const FleetPool& to) const {
+const FleetBox* FleetPlanner::FindDonor(
+    const FleetView& view,
+    const std::map<std::string, double>& surplus,
+    const FleetPool& to) const {
   // A pool without a box for its lasting tasks gets one though the giver falls
   // short by as much as a box.
-  const bool has_none = to.least_boxes > 0 &&
-                        std::none_of(view.boxes.begin(), view.boxes.end(),
-                                     [this, &to](const FleetBox& box) {
-                                       return box.up && box.pool == to.name &&
-                                              !this->IsLeaving(box.name);
-                                     });
+  const bool has_none =
+      to.min_boxes > 0 && std::none_of(view.boxes.begin(), view.boxes.end(),
+                                       [this, &to](const FleetBox& box) {
+                                         return box.available &&
+                                                box.pool == to.name &&
+                                                !this->IsLeaving(box.name);
+                                       });
   const FleetBox* best = nullptr;
   double best_left = -1e9;
   for (const FleetBox& box : view.boxes) {
     const auto pool = surplus.find(box.pool);
-    const bool may_go = box.up && box.idle && box.pool != to.name &&
+    const bool may_go = box.available && box.idle && box.pool != to.name &&
                         !this->moves.contains(box.name) &&
                         !this->InUpkeep(box.name) && pool != surplus.end();
     if (!may_go)
@@ -310,14 +314,14 @@
   return best;
 }
 
-void Fleet::Reclaim(const FleetView& view,
-                    std::map<std::string, double>& surplus,
-                    double short_cores) {
+void FleetPlanner::Reclaim(const FleetView& view,
+                           std::map<std::string, double>& surplus,
+                           double short_cores) {
   std::vector<const FleetBox*> busy;
   for (const FleetBox& box : view.boxes) {
-    const bool may_go = box.up && !box.idle && box.lasting == 0 &&
-                        !this->moves.contains(box.name) &&
-                        !this->InUpkeep(box.name);
+    const bool may_go =
+        box.available && !box.idle && box.long_running_tasks == 0 &&
+        !this->moves.contains(box.name) && !this->InUpkeep(box.name);
     if (may_go)
       busy.push_back(&box);
   }
@@ -338,7 +342,7 @@
   }
 }
 
-bool Fleet::HasOpenCall(const std::string& box) const {
+bool FleetPlanner::HasPendingCall(const std::string& box) const {
   const auto move = this->moves.find(box);
   if (move != this->moves.end() && !move->second.done)
     return true;
@@ -350,12 +354,12 @@
                      });
 }
 
-bool Fleet::IsLeaving(const std::string& box) const {
+bool FleetPlanner::IsLeaving(const std::string& box) const {
   return this->moves.contains(box) || this->reclaimed.contains(box) ||
          this->InUpkeep(box);
 }
 
-jobs::WorkerLife Fleet::LifeBefore(const std::string& box) const {
+jobs::WorkerLife FleetPlanner::WorkerBeforeCall(const std::string& box) const {
   const auto move = this->moves.find(box);
   if (move != this->moves.end())
     return move->second.worker_before;
@@ -368,7 +372,7 @@
   return {};
 }
 
-bool Fleet::WantsBoxes() const {
+bool FleetPlanner::NeedsBoxList() const {
   return !this->has_list || this->HasOpenWave() || !this->moves.empty();
 }
 
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -18,9 +18,9 @@
 
 namespace quartzhoist::scheduler {
 
-struct FleetLimits {
-  base::Micros move_time{};    // until a moved box serves its new pool
-  base::Micros upkeep_time{};  // until a box is back from its upkeep
+struct FleetTimings {
+  base::Micros move_duration{};    // until a moved box serves its new pool
+  base::Micros upkeep_duration{};  // until a box is back from its upkeep
 };
 
 // How the platform answered a call about a box.
@@ -48,26 +48,26 @@
 struct FleetBox {
   std::string name;
   std::string pool;
-  jobs::WorkerLife worker;  // that announces itself; empty: none
-  bool up = false;          // it may be moved or taken down
-  bool idle = false;        // nothing runs on it
-  int lasting = 0;          // lasting tasks on it
-  double cores = 0.0;       // of its capacity
+  jobs::WorkerLife worker;     // that announces itself; empty: none
+  bool available = false;      // it may be moved or taken down
+  bool idle = false;           // nothing runs on it
+  int long_running_tasks = 0;  // lasting tasks on it
+  double cores = 0.0;          // of its capacity
   double busy_cores = 0.0;
 };
 
 // What work of one priority takes, in cores.
-struct PoolNeed {
-  double now_cores = 0.0;   // running and waiting
-  double soon_cores = 0.0;  // expected beyond that
+struct PoolDemand {
+  double current_cores = 0.0;   // running and waiting
+  double expected_cores = 0.0;  // expected beyond that
 };
 
 struct FleetPool {
   std::string name;
   bool spare = false;
-  std::map<int, PoolNeed> needs;  // by priority, 0 the most urgent
+  std::map<int, PoolDemand> demand;  // by priority, 0 the most urgent
   // Boxes that lasting tasks need, which may share a box with few of their own.
-  int least_boxes = 0;
+  int min_boxes = 0;
 };
 
 // How a pool stands, for people.
@@ -101,22 +101,22 @@
 
 // The plan's step that no platform call carries out: nothing new is placed on
 // the box, and what lasts there is moved off as its limits allow.
-struct Evacuate {
+struct EvacuateBox {
   std::string box;
 };
 
-using FleetStep = std::variant<MoveBox, UpkeepBox, ReportWave, Evacuate>;
+using FleetAction = std::variant<MoveBox, UpkeepBox, ReportWave, EvacuateBox>;
 
 // How many cores each pool should have: the boxes its lasting tasks need, then
 // urgent work first, what is there before what is expected; where not all fits,
 // pools of one level share in proportion.
-std::map<std::string, double> AllotCores(const std::vector<FleetPool>& pools,
-                                         double total_cores,
-                                         double box_cores);
+std::map<std::string, double> AllocateCores(const std::vector<FleetPool>& pools,
+                                            double total_cores,
+                                            double box_cores);
 
-class Fleet {
+class FleetPlanner {
  public:
-  explicit Fleet(const FleetLimits& limits);
+  explicit FleetPlanner(const FleetTimings& limits);
 
   // `begun`: boxes whose upkeep an earlier owner has seen begin.
   void SetWave(const Wave& wave,
@@ -127,32 +127,34 @@
   void Inherit(const MoveBox& call, base::Micros now);
   void Inherit(const UpkeepBox& call, base::Micros now);
   // A life of the box announces itself, in this pool.
-  void BoxSeen(const std::string& box,
-               const jobs::WorkerLife& worker,
-               const std::string& pool,
-               base::Micros now);
+  void OnBoxAnnounced(const std::string& box,
+                      const jobs::WorkerLife& worker,
+                      const std::string& pool,
+                      base::Micros now);
   // A worker on the box has answered this owner.
-  void BoxAnswered(const std::string& box);
+  void OnBoxAnswered(const std::string& box);
   // The platform's list, asked for at `asked`: it may be as old as that.
   void SetBoxes(const std::vector<BoxInfo>& boxes,
                 base::Micros asked,
                 base::Micros now);
-  void Moved(const MoveBox& order, BoxCallOutcome outcome, base::Micros now);
-  void UpkeepBegun(const UpkeepBox& order,
-                   BoxCallOutcome outcome,
-                   base::Micros now);
+  void OnMoveOutcome(const MoveBox& order,
+                     BoxCallOutcome outcome,
+                     base::Micros now);
+  void OnUpkeepOutcome(const UpkeepBox& order,
+                       BoxCallOutcome outcome,
+                       base::Micros now);
 
-  std::vector<FleetStep> Plan(const FleetView& view, base::Micros now);
+  std::vector<FleetAction> Plan(const FleetView& view, base::Micros now);
 
   // A call for the box is to be made, or its outcome is not known.
-  bool HasOpenCall(const std::string& box) const;
+  bool HasPendingCall(const std::string& box) const;
   // Nothing further is to be placed on the box.
   bool IsLeaving(const std::string& box) const;
   // The life that was on the box when its move or upkeep was asked for.
-  jobs::WorkerLife LifeBefore(const std::string& box) const;
+  jobs::WorkerLife WorkerBeforeCall(const std::string& box) const;
   bool HasOpenWave() const;
   // Some box is away, so that the platform's list of boxes matters now.
-  bool WantsBoxes() const;
+  bool NeedsBoxList() const;
 
  private:
   enum class UpkeepState {
@@ -228,17 +230,17 @@
   static void CallOrEmpty(WaveProgress& progress,
                           const BoxesByName& boxes,
                           base::Micros now,
-                          std::vector<FleetStep>& steps);
+                          std::vector<FleetAction>& steps);
   void PlanWave(WaveProgress& progress,
                 const BoxesByName& boxes,
                 base::Micros now,
-                std::vector<FleetStep>& steps);
+                std::vector<FleetAction>& steps);
   void PlanMoves(const FleetView& view,
                  base::Micros now,
-                 std::vector<FleetStep>& steps);
+                 std::vector<FleetAction>& steps);
   void RepeatMoves(const BoxesByName& boxes,
                    base::Micros now,
-                   std::vector<FleetStep>& steps);
+                   std::vector<FleetAction>& steps);
   std::map<std::string, double> CoresHeld(const FleetView& view) const;
   const FleetBox* FindDonor(const FleetView& view,
                             const std::map<std::string, double>& surplus,
@@ -248,7 +250,7 @@
                double short_cores);
   bool InUpkeep(const std::string& box) const;
 
-  FleetLimits limits;
+  FleetTimings limits;
   std::map<int, WaveProgress> waves;
   std::map<std::string, Move> moves;  // by box, until it is back
   // Busy boxes that another pool needs more: nothing further is placed there,
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -17,24 +17,24 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr FleetLimits kLimits{.move_time = milliseconds(1500),
-                              .upkeep_time = milliseconds(2000)};
+constexpr FleetTimings kLimits{.move_duration = milliseconds(1500),
+                               .upkeep_duration = milliseconds(2000)};
 
 FleetBox IdleBox(const std::string& name, const std::string& pool) {
   return {.name = name,
           .pool = pool,
           .worker = {.id = name + "-life"},
-          .up = true,
+          .available = true,
           .idle = true,
-          .lasting = 0,
+          .long_running_tasks = 0,
           .cores = 16.0,
           .busy_cores = 0.0};
 }
 
 template <typename Step>
-std::vector<Step> Only(const std::vector<FleetStep>& steps) {
+std::vector<Step> Only(const std::vector<FleetAction>& steps) {
   std::vector<Step> found;
-  for (const FleetStep& step : steps) {
+  for (const FleetAction& step : steps) {
     if (const auto* one = std::get_if<Step>(&step))
       found.push_back(*one);
   }
@@ -46,34 +46,35 @@
   const int count = *rc::gen::inRange(1, 6);
   double urgent = 0.0;
   for (int i = 0; i < count; ++i) {
-    FleetPool pool{.name = std::to_string(i), .spare = false, .needs = {}};
-    pool.needs[0] = {.now_cores = *rc::gen::inRange(0, 300) * 1.0,
-                     .soon_cores = *rc::gen::inRange(0, 300) * 1.0};
-    pool.needs[1] = {.now_cores = *rc::gen::inRange(0, 300) * 1.0,
-                     .soon_cores = *rc::gen::inRange(0, 300) * 1.0};
-    urgent += pool.needs[0].now_cores;
+    FleetPool pool{.name = std::to_string(i), .spare = false, .demand = {}};
+    pool.demand[0] = {.current_cores = *rc::gen::inRange(0, 300) * 1.0,
+                      .expected_cores = *rc::gen::inRange(0, 300) * 1.0};
+    pool.demand[1] = {.current_cores = *rc::gen::inRange(0, 300) * 1.0,
+                      .expected_cores = *rc::gen::inRange(0, 300) * 1.0};
+    urgent += pool.demand[0].current_cores;
     pools.push_back(pool);
   }
   const double total = *rc::gen::inRange(0, 1500);
-  const auto allotted = AllotCores(pools, total, 16.0);
+  const auto allotted = AllocateCores(pools, total, 16.0);
   double sum = 0.0;
   for (const FleetPool& pool : pools) {
     sum += allotted.at(pool.name);
     // All urgent work that is there is covered wherever it can be.
     if (urgent <= total)
-      RC_ASSERT(allotted.at(pool.name) >= pool.needs.at(0).now_cores - 1e-6);
+      RC_ASSERT(allotted.at(pool.name) >=
+                pool.demand.at(0).current_cores - 1e-6);
   }
   RC_ASSERT(sum <= total + 1e-6);
 }
 
 BOOST_AUTO_TEST_CASE(IdleBoxGoesToThePoolThatIsShort) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "calm"), IdleBox("b2", "calm"),
                 IdleBox("b3", "busy")};
-  view.pools = {{.name = "calm", .spare = false, .needs = {}},
-                {.name = "busy", .spare = false, .needs = {}}};
-  view.pools[1].needs[0].now_cores = 20.0;
+  view.pools = {{.name = "calm", .spare = false, .demand = {}},
+                {.name = "busy", .spare = false, .demand = {}}};
+  view.pools[1].demand[0].current_cores = 20.0;
   const auto moves = Only<MoveBox>(fleet.Plan(view, seconds(1)));
   BOOST_REQUIRE(moves.size() == 1);
   BOOST_TEST(moves[0].pool == "busy");
@@ -84,15 +85,15 @@
 
 // Overload elsewhere does not leave lasting tasks without a box.
 BOOST_AUTO_TEST_CASE(PoolOfLastingTasksGetsItsBoxThoughAllAreShort) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "busy"), IdleBox("b2", "busy")};
   view.boxes[1].idle = false;
-  view.pools = {{.name = "busy", .spare = false, .needs = {}},
-                {.name = "lasts", .spare = false, .needs = {}}};
-  view.pools[0].needs[0].now_cores = 500.0;
-  view.pools[1].needs[0].now_cores = 1.0;
-  view.pools[1].least_boxes = 1;
+  view.pools = {{.name = "busy", .spare = false, .demand = {}},
+                {.name = "lasts", .spare = false, .demand = {}}};
+  view.pools[0].demand[0].current_cores = 500.0;
+  view.pools[1].demand[0].current_cores = 1.0;
+  view.pools[1].min_boxes = 1;
   const auto moves = Only<MoveBox>(fleet.Plan(view, seconds(1)));
   BOOST_REQUIRE(moves.size() == 1);
   BOOST_TEST(moves[0].box == "b1");
@@ -100,15 +101,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(MoveWithoutAnAnswerIsAskedForAgain) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "calm")};
-  view.pools = {{.name = "calm", .spare = false, .needs = {}},
-                {.name = "busy", .spare = false, .needs = {}}};
-  view.pools[1].needs[0].now_cores = 10.0;
+  view.pools = {{.name = "calm", .spare = false, .demand = {}},
+                {.name = "busy", .spare = false, .demand = {}}};
+  view.pools[1].demand[0].current_cores = 10.0;
   const auto first = Only<MoveBox>(fleet.Plan(view, seconds(1)));
   BOOST_REQUIRE(first.size() == 1);
-  fleet.Moved(first[0], BoxCallOutcome::kUnknown, seconds(2));
+  fleet.OnMoveOutcome(first[0], BoxCallOutcome::kUnknown, seconds(2));
   BOOST_TEST(fleet.IsLeaving("b1"));
   const auto again = Only<MoveBox>(fleet.Plan(view, seconds(3)));
   BOOST_REQUIRE(again.size() == 1);
@@ -116,18 +117,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(BusyBoxOfALessUrgentPoolRunsEmpty) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "patient"), IdleBox("b2", "patient")};
   for (FleetBox& box : view.boxes) {
     box.idle = false;
     box.busy_cores = 10.0;
   }
-  view.boxes[1].lasting = 1;  // pinned: it stays
-  view.pools = {{.name = "patient", .spare = false, .needs = {}},
-                {.name = "urgent", .spare = false, .needs = {}}};
-  view.pools[0].needs[1].now_cores = 100.0;
-  view.pools[1].needs[0].now_cores = 14.0;
+  view.boxes[1].long_running_tasks = 1;  // pinned: it stays
+  view.pools = {{.name = "patient", .spare = false, .demand = {}},
+                {.name = "urgent", .spare = false, .demand = {}}};
+  view.pools[0].demand[1].current_cores = 100.0;
+  view.pools[1].demand[0].current_cores = 14.0;
   BOOST_TEST(Only<MoveBox>(fleet.Plan(view, seconds(1))).empty());
   BOOST_TEST(fleet.IsLeaving("b1"));
   BOOST_TEST(!fleet.IsLeaving("b2"));
@@ -145,7 +146,7 @@
     boxes[name] = IdleBox(name, "pool");
     boxes[name].idle = *rc::gen::arbitrary<bool>();
   }
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   fleet.SetWave(wave, {}, seconds(1));
   // Drawn as the days go by, so that every fault ends some time.
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
@@ -161,26 +162,26 @@
         continue;
       }
       FleetBox& box = boxes[it->first];
-      box.up = true;
+      box.available = true;
       box.idle = true;
       box.worker.id += "x";
-      fleet.BoxSeen(box.name, box.worker, box.pool, now);
+      fleet.OnBoxAnnounced(box.name, box.worker, box.pool, now);
       it = down.erase(it);
     }
     FleetView view;
     for (const auto& [name, box] : boxes)
       view.boxes.push_back(box);
-    view.pools = {{.name = "pool", .spare = false, .needs = {}}};
-    for (const FleetStep& step : fleet.Plan(view, now)) {
+    view.pools = {{.name = "pool", .spare = false, .demand = {}}};
+    for (const FleetAction& step : fleet.Plan(view, now)) {
       if (const auto* upkeep = std::get_if<UpkeepBox>(&step)) {
         // 0: not carried out, no answer; 1: carried out, no answer; 2 and 3:
         // refused; else as asked.
         const auto kind = random() % 6;
         const bool carried_out = kind == 1 || kind > 3;
-        if (carried_out && boxes[upkeep->box].up) {
+        if (carried_out && boxes[upkeep->box].available) {
           RC_ASSERT(boxes[upkeep->box].idle);
           ++begun[upkeep->box];
-          boxes[upkeep->box].up = false;
+          boxes[upkeep->box].available = false;
           down[upkeep->box] = now + seconds(2);
           RC_ASSERT(static_cast<int>(down.size()) <= most);
         }
@@ -188,8 +189,8 @@
                                        : kind == 2 ? BoxCallOutcome::kNotSent
                                        : kind == 3 ? BoxCallOutcome::kThrottled
                                                    : BoxCallOutcome::kDone;
-        fleet.UpkeepBegun(*upkeep, outcome, now);
-      } else if (const auto* evacuate = std::get_if<Evacuate>(&step)) {
+        fleet.OnUpkeepOutcome(*upkeep, outcome, now);
+      } else if (const auto* evacuate = std::get_if<EvacuateBox>(&step)) {
         boxes[evacuate->box].idle = random() % 2 == 0;
       } else if (const auto* report = std::get_if<ReportWave>(&step)) {
         completed = report->state == WaveState::kCompleted;
@@ -198,11 +199,12 @@
     if (turn % 8 == 0) {
       std::vector<BoxInfo> listed;
       for (const auto& [name, box] : boxes) {
-        listed.push_back({.name = name,
-                          .pool = "pool",
-                          .state = box.up ? BoxState::kUp : BoxState::kUpkeep,
-                          .worker = box.worker.id,
-                          .cores = 16.0});
+        listed.push_back(
+            {.name = name,
+             .pool = "pool",
+             .state = box.available ? BoxState::kUp : BoxState::kUpkeep,
+             .worker = box.worker.id,
+             .cores = 16.0});
       }
       fleet.SetBoxes(listed, now, now);
     }
@@ -216,10 +218,10 @@
 // of boxes that was asked for before an upkeep began shows its box as up, which
 // brings it back for nobody.
 BOOST_AUTO_TEST_CASE(ListFromBeforeAnUpkeepDoesNotBringTheBoxBack) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   const FleetView view{
       .boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
-      .pools = {{.name = "pool", .spare = false, .needs = {}}}};
+      .pools = {{.name = "pool", .spare = false, .demand = {}}}};
   const std::vector<BoxInfo> listed = {
       {.name = "b1", .pool = "pool", .worker = "b1-life", .cores = 16.0},
       {.name = "b2", .pool = "pool", .worker = "b2-life", .cores = 16.0}};
@@ -234,7 +236,7 @@
   BOOST_REQUIRE(first.size() == 1U);
   const base::Micros asked = now;
   now += milliseconds(100);
-  fleet.UpkeepBegun(first[0], BoxCallOutcome::kDone, now);
+  fleet.OnUpkeepOutcome(first[0], BoxCallOutcome::kDone, now);
   now += seconds(3);
   fleet.SetBoxes(listed, asked, now);
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).empty());
@@ -247,9 +249,9 @@
 // from the beginning, and once it has been heard and is empty the call is made
 // anew, so that the earlier one comes too late.
 BOOST_AUTO_TEST_CASE(InheritedUpkeepCountsUntilItIsMadeAnew) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
-                 .pools = {{.name = "pool", .spare = false, .needs = {}}}};
+                 .pools = {{.name = "pool", .spare = false, .demand = {}}}};
   const base::Micros now = seconds(10);
   fleet.Inherit(UpkeepBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
                 now);
@@ -262,9 +264,9 @@
                  .most_at_once = 1},
                 {}, now);
   BOOST_TEST(fleet.IsLeaving("b1"));
-  view.boxes[0].up = false;  // not heard yet
+  view.boxes[0].available = false;  // not heard yet
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).empty());
-  view.boxes[0].up = true;
+  view.boxes[0].available = true;
   const auto made = Only<UpkeepBox>(fleet.Plan(view, now + milliseconds(250)));
   BOOST_REQUIRE(made.size() == 1U);
   BOOST_TEST(made[0].box == "b1");
@@ -274,13 +276,13 @@
 // Something runs on the box: the earlier owner had given the call up, or it was
 // carried out long ago. Nothing there is ended for it.
 BOOST_AUTO_TEST_CASE(InheritedCallEndsNothingThatRuns) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
-                 .pools = {{.name = "pool", .spare = false, .needs = {}}}};
+                 .pools = {{.name = "pool", .spare = false, .demand = {}}}};
   const base::Micros now = seconds(10);
   for (FleetBox& box : view.boxes) {
     box.idle = false;
-    box.lasting = 1;
+    box.long_running_tasks = 1;
   }
   fleet.Inherit(UpkeepBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
                 now);
@@ -297,15 +299,16 @@
   const auto steps = fleet.Plan(view, now);
   BOOST_TEST(Only<UpkeepBox>(steps).empty());
   BOOST_TEST(Only<MoveBox>(steps).empty());
-  BOOST_TEST(Only<Evacuate>(steps).size() == 1U);
-  BOOST_TEST(!fleet.HasOpenCall("b1"));
-  BOOST_TEST(!fleet.HasOpenCall("b2"));
+  BOOST_TEST(Only<EvacuateBox>(steps).size() == 1U);
+  BOOST_TEST(!fleet.HasPendingCall("b1"));
+  BOOST_TEST(!fleet.HasPendingCall("b2"));
 }
 
 // Guards against one upkeep more than may be at once, when a worker that had
 // crashed starts again on a box that is being taken.
 BOOST_AUTO_TEST_CASE(LifeThatStartsWhileItsBoxIsTakenIsNotBackFromTheUpkeep) {
-  Fleet fleet({.move_time = milliseconds(1500), .upkeep_time = seconds(2)});
+  FleetPlanner fleet(
+      {.move_duration = milliseconds(1500), .upkeep_duration = seconds(2)});
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
                   .duration = seconds(60),
@@ -318,11 +321,12 @@
                  .pools = {{.name = "pool"}}};
   const auto first = Only<UpkeepBox>(fleet.Plan(view, seconds(1)));
   BOOST_REQUIRE(first.size() == 1U);
-  fleet.UpkeepBegun(first[0], BoxCallOutcome::kDone, milliseconds(1020));
-  fleet.BoxSeen(first[0].box, {.id = "crashed-and-back"}, "pool",
-                milliseconds(1400));
+  fleet.OnUpkeepOutcome(first[0], BoxCallOutcome::kDone, milliseconds(1020));
+  fleet.OnBoxAnnounced(first[0].box, {.id = "crashed-and-back"}, "pool",
+                       milliseconds(1400));
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, milliseconds(1500))).empty());
-  fleet.BoxSeen(first[0].box, {.id = "maintained"}, "pool", milliseconds(3100));
+  fleet.OnBoxAnnounced(first[0].box, {.id = "maintained"}, "pool",
+                       milliseconds(3100));
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, milliseconds(3200))).size() ==
              1U);
 }
@@ -330,49 +334,49 @@
 // A move without an answer had been carried out: its box is back in the new
 // pool when the repeated call says so, and serves at once.
 BOOST_AUTO_TEST_CASE(BoxThatIsBackServesOnceItsMoveIsAnswered) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   const base::Micros now = seconds(10);
   fleet.Inherit(
       MoveBox{.box = "b1", .pool = "other", .life = {.id = "b1-life"}}, now);
-  fleet.BoxSeen("b1", {.id = "b1-next"}, "other", now);
+  fleet.OnBoxAnnounced("b1", {.id = "b1-next"}, "other", now);
   BOOST_TEST(fleet.IsLeaving("b1"));
   FleetBox box = IdleBox("b1", "other");
   box.worker = {.id = "b1-next"};
   const FleetView view{.boxes = {box}, .pools = {{.name = "other"}}};
   const auto made = Only<MoveBox>(fleet.Plan(view, now));
   BOOST_REQUIRE(made.size() == 1U);
-  fleet.Moved(made[0], BoxCallOutcome::kDone, now + milliseconds(20));
+  fleet.OnMoveOutcome(made[0], BoxCallOutcome::kDone, now + milliseconds(20));
   BOOST_TEST(!fleet.IsLeaving("b1"));
 }
 
 // Many idle boxes and a few with lasting tasks, which leave one after the
 // other: the latter begin with the first, or they are what is late in the end.
 BOOST_AUTO_TEST_CASE(BoxesOfLastingTasksBeginWithTheFirst) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   Wave wave{
       .number = 1, .boxes = {}, .duration = seconds(25), .most_at_once = 16};
   FleetView view;
-  view.pools = {{.name = "pool", .spare = false, .needs = {}}};
+  view.pools = {{.name = "pool", .spare = false, .demand = {}}};
   std::vector<BoxInfo> listed;
   for (int i = 0; i < 40; ++i) {
     FleetBox box = IdleBox("b" + std::to_string(i), "pool");
-    box.lasting = i < 10 ? 1 : 0;
-    box.idle = box.lasting == 0;
+    box.long_running_tasks = i < 10 ? 1 : 0;
+    box.idle = box.long_running_tasks == 0;
     wave.boxes.push_back(box.name);
     listed.push_back({.name = box.name, .pool = "pool", .cores = 16.0});
     view.boxes.push_back(box);
   }
   fleet.SetWave(wave, {}, seconds(1));
   fleet.SetBoxes(listed, seconds(1), seconds(1));
-  const std::vector<FleetStep> steps = fleet.Plan(view, seconds(1));
-  BOOST_TEST(Only<Evacuate>(steps).size() == 2U);
+  const std::vector<FleetAction> steps = fleet.Plan(view, seconds(1));
+  BOOST_TEST(Only<EvacuateBox>(steps).size() == 2U);
   BOOST_TEST(Only<UpkeepBox>(steps).size() == 14U);
   // No further one before they are through.
-  BOOST_TEST(Only<Evacuate>(fleet.Plan(view, seconds(2))).size() == 2U);
+  BOOST_TEST(Only<EvacuateBox>(fleet.Plan(view, seconds(2))).size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(LaterOwnerDoesNotBeginAnUpkeepAgain) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
                  .duration = seconds(20),
@@ -380,7 +384,7 @@
                 {"b1"}, seconds(1));
   FleetView view;
   view.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")};
-  view.pools = {{.name = "pool", .spare = false, .needs = {}}};
+  view.pools = {{.name = "pool", .spare = false, .demand = {}}};
   // b1 may still be down: nothing else begins before the list shows it up.
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(2))).empty());
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .worker = "b1-life"},
@@ -392,7 +396,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(UpkeepThatAnEarlierOwnerBeganCounts) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
                  .duration = seconds(20),
@@ -400,7 +404,7 @@
                 {}, seconds(1));
   FleetView view;
   view.boxes = {IdleBox("b2", "pool")};
-  view.pools = {{.name = "pool", .spare = false, .needs = {}}};
+  view.pools = {{.name = "pool", .spare = false, .demand = {}}};
   // Nothing is begun before the list has been read.
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(2))).empty());
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .state = BoxState::kUpkeep},
@@ -416,7 +420,7 @@
 // Two waves cover one box: its upkeep for the one, as the list shows it, then
 // and for a while after, is not its upkeep for the other.
 BOOST_AUTO_TEST_CASE(UpkeepForOneWaveIsNoneForAnother) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   const auto wave = [](int number) {
     return Wave{.number = number,
                 .boxes = {"b1"},
@@ -428,20 +432,20 @@
   down.state = BoxState::kUpkeep;
   FleetView view;
   view.boxes = {IdleBox("b1", "pool")};
-  view.pools = {{.name = "pool", .spare = false, .needs = {}}};
+  view.pools = {{.name = "pool", .spare = false, .demand = {}}};
   fleet.SetWave(wave(1), {}, seconds(1));
   fleet.SetBoxes({up}, seconds(1), seconds(1));
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(1))).size() == 1U);
-  fleet.UpkeepBegun({.box = "b1", .wave = 1}, BoxCallOutcome::kDone,
-                    seconds(1));
+  fleet.OnUpkeepOutcome({.box = "b1", .wave = 1}, BoxCallOutcome::kDone,
+                        seconds(1));
   fleet.SetWave(wave(2), {}, seconds(2));
   fleet.SetBoxes({down}, seconds(2), seconds(2));
   // Its new life is there before the list shows it.
-  fleet.BoxSeen("b1", {.id = "b1-next-life"}, "pool", seconds(3));
+  fleet.OnBoxAnnounced("b1", {.id = "b1-next-life"}, "pool", seconds(3));
   fleet.SetBoxes({down}, seconds(4), seconds(4));
   view.boxes[0].worker = {.id = "b1-next-life"};
   fleet.SetBoxes({up}, seconds(6), seconds(6));
-  const std::vector<FleetStep> steps = fleet.Plan(view, seconds(6));
+  const std::vector<FleetAction> steps = fleet.Plan(view, seconds(6));
   for (const ReportWave& report : Only<ReportWave>(steps))
     BOOST_TEST((report.wave == 1 || report.state == WaveState::kRunning));
   const auto second = Only<UpkeepBox>(steps);
@@ -451,20 +455,20 @@
 
 // It may be used again before the box service has listed it.
 BOOST_AUTO_TEST_CASE(BoxThatAnswersIsBackFromAnEarlierOwnersUpkeep) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
                   .duration = seconds(20),
                   .most_at_once = 2};
   fleet.SetWave(wave, {"b1", "b2"}, seconds(10));
   BOOST_TEST(fleet.IsLeaving("b1"));
-  fleet.BoxAnswered("b1");
+  fleet.OnBoxAnswered("b1");
   BOOST_TEST(!fleet.IsLeaving("b1"));
   BOOST_TEST(fleet.IsLeaving("b2"));
 }
 
 BOOST_AUTO_TEST_CASE(BoxThatHasBeenTakenAwayIsNotWaitedFor) {
-  Fleet fleet(kLimits);
+  FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"gone"},
                  .duration = seconds(20),
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-void Fleet::SetWave(const Wave& wave,
-                    const std::vector<std::string>& begun,
-                    base::Micros now) {
+void FleetPlanner::SetWave(const Wave& wave,
+                           const std::vector<std::string>& begun,
+                           base::Micros now) {
   WaveProgress& progress = this->waves[wave.number];
   if (progress.wave.boxes.empty())
     progress.since = now;
@@ -43,7 +43,7 @@
 // A box goes down as soon as its upkeep is accepted: whoever answers there,
 // long after an earlier owner saw that, is back from it. Without this, each
 // takeover left out half of the fleet until the box service had listed it.
-void Fleet::BoxAnswered(const std::string& box) {
+void FleetPlanner::OnBoxAnswered(const std::string& box) {
   for (auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
@@ -56,7 +56,7 @@
 }
 
 // What an earlier owner began without coming to record it, and what is back.
-void Fleet::CompareWavesWithList(base::Micros asked, base::Micros now) {
+void FleetPlanner::CompareWavesWithList(base::Micros asked, base::Micros now) {
   for (auto& [number, progress] : this->waves) {
     for (auto& [name, upkeep] : progress.boxes) {
       const auto found = this->listed.find(name);
@@ -67,7 +67,7 @@
       // the upkeep.
       const bool back = !gone && found->second.state == BoxState::kUp &&
                         upkeep.state == UpkeepState::kDown &&
-                        asked > upkeep.since + this->limits.upkeep_time;
+                        asked > upkeep.since + this->limits.upkeep_duration;
       if (gone || back)
         upkeep.state = UpkeepState::kDone;
       // An earlier owner began it, and did not come to record it.
@@ -88,9 +88,9 @@
 
 // The list does not say for which wave a box is in its upkeep. Waves overlap:
 // taken for both, one of them was said to be completed without the box.
-bool Fleet::InUpkeepOfAnother(int wave,
-                              const std::string& box,
-                              base::Micros asked) const {
+bool FleetPlanner::InUpkeepOfAnother(int wave,
+                                     const std::string& box,
+                                     base::Micros asked) const {
   return std::any_of(
       this->waves.begin(), this->waves.end(), [&](const auto& entry) {
         const auto found = entry.second.boxes.find(box);
@@ -99,15 +99,15 @@
         const Upkeep& upkeep = found->second;
         const bool is_back_lately =
             upkeep.state == UpkeepState::kDone &&
-            asked < upkeep.since + this->limits.upkeep_time + kListAge;
+            asked < upkeep.since + this->limits.upkeep_duration + kListAge;
         return upkeep.state == UpkeepState::kCalling ||
                upkeep.state == UpkeepState::kDown || is_back_lately;
       });
 }
 
-void Fleet::UpkeepBegun(const UpkeepBox& order,
-                        BoxCallOutcome outcome,
-                        base::Micros now) {
+void FleetPlanner::OnUpkeepOutcome(const UpkeepBox& order,
+                                   BoxCallOutcome outcome,
+                                   base::Micros now) {
   const auto wave = this->waves.find(order.wave);
   if (wave == this->waves.end())
     return;
@@ -141,7 +141,7 @@
   }
 }
 
-ReportWave Fleet::Report(const WaveProgress& progress) const {
+ReportWave FleetPlanner::Report(const WaveProgress& progress) const {
   ReportWave report{
       .wave = progress.wave.number,
       .state = progress.completed ? WaveState::kCompleted : WaveState::kRunning,
@@ -155,10 +155,10 @@
 }
 
 // Boxes that are empty go first; others are emptied, as many as may be away.
-void Fleet::PlanWave(WaveProgress& progress,
-                     const BoxesByName& boxes,
-                     base::Micros now,
-                     std::vector<FleetStep>& steps) {
+void FleetPlanner::PlanWave(WaveProgress& progress,
+                            const BoxesByName& boxes,
+                            base::Micros now,
+                            std::vector<FleetAction>& steps) {
   // 1. What is on its way, and what is left.
   WaveTurn turn = this->CountWave(progress, boxes, now);
   if (turn.all_done && !progress.wave.boxes.empty()) {
@@ -180,9 +180,9 @@
   CallOrEmpty(progress, boxes, now, steps);
 }
 
-Fleet::WaveTurn Fleet::CountWave(WaveProgress& progress,
-                                 const BoxesByName& boxes,
-                                 base::Micros now) const {
+FleetPlanner::WaveTurn FleetPlanner::CountWave(WaveProgress& progress,
+                                               const BoxesByName& boxes,
+                                               base::Micros now) const {
   WaveTurn turn;
   for (auto& [name, upkeep] : progress.boxes) {
     const auto found = boxes.find(name);
@@ -191,9 +191,9 @@
     turn.all_done = turn.all_done && upkeep.state == UpkeepState::kDone;
     turn.away += emptying || upkeep.state == UpkeepState::kCalling ||
                  upkeep.state == UpkeepState::kDown;
-    turn.pinned_away += emptying && box && box->lasting > 0;
+    turn.pinned_away += emptying && box && box->long_running_tasks > 0;
     const bool can_go = upkeep.state == UpkeepState::kPending && box &&
-                        box->up && now >= upkeep.next_call &&
+                        box->available && now >= upkeep.next_call &&
                         !this->moves.contains(name);
     if (can_go)
       turn.pending.emplace_back(box, &upkeep);
@@ -203,13 +203,15 @@
 
 // Idle boxes, then those with little on them; of eight places one goes to boxes
 // that hold lasting tasks.
-void Fleet::TakeNext(const Wave& wave, WaveTurn& turn, base::Micros now) {
+void FleetPlanner::TakeNext(const Wave& wave,
+                            WaveTurn& turn,
+                            base::Micros now) {
   std::stable_sort(turn.pending.begin(), turn.pending.end(),
                    [](const auto& a, const auto& b) {
                      const FleetBox& x = *a.first;
                      const FleetBox& y = *b.first;
-                     if (x.lasting != y.lasting)
-                       return x.lasting < y.lasting;
+                     if (x.long_running_tasks != y.long_running_tasks)
+                       return x.long_running_tasks < y.long_running_tasks;
                      return x.busy_cores < y.busy_cores;
                    });
   const auto take = [&](Upkeep& upkeep) {
@@ -221,7 +223,7 @@
   for (const auto& [box, upkeep] : turn.pending) {
     if (turn.away >= wave.most_at_once || turn.pinned_away >= pinned_share)
       break;
-    if (box->lasting == 0)
+    if (box->long_running_tasks == 0)
       continue;
     take(*upkeep);
     ++turn.pinned_away;
@@ -235,7 +237,7 @@
 }
 
 // An earlier owner's call becomes this one's: false while it must wait.
-bool Fleet::TakeUp(Upkeep& upkeep, Inherited inherited) {
+bool FleetPlanner::TakeUp(Upkeep& upkeep, Inherited inherited) {
   if (inherited == Inherited::kWaits)
     return false;
   upkeep.is_inherited = false;
@@ -244,13 +246,13 @@
   return true;
 }
 
-void Fleet::CallOrEmpty(WaveProgress& progress,
-                        const BoxesByName& boxes,
-                        base::Micros now,
-                        std::vector<FleetStep>& steps) {
+void FleetPlanner::CallOrEmpty(WaveProgress& progress,
+                               const BoxesByName& boxes,
+                               base::Micros now,
+                               std::vector<FleetAction>& steps) {
   for (auto& [name, upkeep] : progress.boxes) {
     const auto found = boxes.find(name);
-    const bool here = found != boxes.end() && found->second->up;
+    const bool here = found != boxes.end() && found->second->available;
     if (upkeep.is_inherited && !TakeUp(upkeep, JudgeInherited(boxes, name)))
       continue;
     if (upkeep.state == UpkeepState::kEmptying && !here) {
@@ -272,12 +274,12 @@
                                    .wave = progress.wave.number,
                                    .life = upkeep.worker_before});
     } else if (upkeep.state == UpkeepState::kEmptying) {
-      steps.emplace_back(Evacuate{.box = name});
+      steps.emplace_back(EvacuateBox{.box = name});
     }
   }
 }
 
-bool Fleet::InUpkeep(const std::string& box) const {
+bool FleetPlanner::InUpkeep(const std::string& box) const {
   for (const auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
@@ -289,7 +291,7 @@
   return false;
 }
 
-bool Fleet::HasOpenWave() const {
+bool FleetPlanner::HasOpenWave() const {
   return std::any_of(this->waves.begin(), this->waves.end(),
                      [](const auto& entry) { return !entry.second.completed; });
 }
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -54,7 +54,7 @@
     this->actions.emplace_back(Note{worker.info.life.id, "answers again"});
   if (!worker.listed) {
     ++this->worker_change_count;
-    this->fleet.BoxAnswered(worker.info.box);
+    this->fleet.OnBoxAnswered(worker.info.box);
     // From now on it refuses every earlier owner's grant: lasting tasks of one
     // that died 3 s after a takeover had waited for 7 s more.
     if (!worker.has_foreign_lease)
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -47,7 +47,7 @@
   std::uint64_t epoch = 1;   // of this ownership, from 1
   int shards = 1;            // over which the jobs are spread
   // Lists every box, and says which boxes a wave covers.
-  FleetLimits fleet;
+  FleetTimings fleet;
 };
 
 enum class SaveOutcome {
@@ -156,10 +156,10 @@
   }
   // Rises when a worker comes, goes, or is listed for the first time.
   std::uint64_t worker_changes() const { return this->worker_change_count; }
-  bool wants_boxes() const { return this->fleet.WantsBoxes(); }
+  bool wants_boxes() const { return this->fleet.NeedsBoxList(); }
   // A call for the box is to be made, or its outcome is not known.
   bool HasOpenBoxCall(const std::string& box) const {
-    return this->fleet.HasOpenCall(box);
+    return this->fleet.HasPendingCall(box);
   }
   // A worker saw a higher epoch: this ownership is over.
   bool fenced() const { return this->is_fenced; }
@@ -399,7 +399,7 @@
   Demand demand;
   Quotas quotas;
   DueShares due_shares;
-  Fleet fleet;
+  FleetPlanner fleet;
   BoxRequests box_requests;
   std::vector<Action> actions;
   base::Micros confirmed{};
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -65,7 +65,7 @@
     known = &this->workers[info.life];
     ++this->worker_change_count;
     known->next_look = now;
-    this->fleet.BoxSeen(info.box, info.life, info.service, now);
+    this->fleet.OnBoxAnnounced(info.box, info.life, info.service, now);
   }
   const bool had_drained = known->info.draining;
   known->info = info;
@@ -154,7 +154,7 @@
   if (!runs.empty())
     this->LoseRuns(earlier, runs, losses, LossSign::kRestarted, now);
   this->LifeIsOver(over, LossSign::kRestarted, now);
-  this->fleet.BoxSeen(info.box, info.life, info.service, now);
+  this->fleet.OnBoxAnnounced(info.box, info.life, info.service, now);
   return next;
 }
 
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -178,7 +178,7 @@
       static_cast<double>(kLongestLease.count()) * kClockSlack));
   limits.stop_time = milliseconds(400);
   limits.epoch = epoch;
-  limits.fleet = {.move_time = kMoveTime, .upkeep_time = kUpkeepTime};
+  limits.fleet = {.move_duration = kMoveTime, .upkeep_duration = kUpkeepTime};
   Owner owner;
   owner.epoch = epoch;
   owner.scheduler = std::make_unique<scheduler::Scheduler>(limits);
