--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -11,17 +11,17 @@
 
 // A pool wants so much more than its work takes: tasks do not fill a box
 // exactly.
-constexpr double kFill = 0.85;
+constexpr double kTargetUtilization = 0.85;
 
 // A pool is short from this part of a box on.
-constexpr double kShortBoxes = 0.25;
+constexpr double kShortageThreshold = 0.25;
 
 // A moved box whose new life never shows is given up after this.
-constexpr base::Micros kMoveLost = std::chrono::seconds(8);
+constexpr base::Micros kMoveTimeout = std::chrono::seconds(8);
 
 // No box is back sooner, though clocks run a little apart.
-base::Micros LeastTimeAway(base::Micros usual) {
-  return usual * 9 / 10;
+base::Micros MinTimeAway(base::Micros duration) {
+  return duration * 9 / 10;
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
 
 void FleetPlanner::Inherit(const MoveBox& call, base::Micros now) {
   this->moves[call.box] = {.pool = call.pool,
-                           .worker_before = call.life,
+                           .worker_before_call = call.life,
                            .since = now,
                            .is_inherited = true};
 }
@@ -39,8 +39,8 @@
 void FleetPlanner::Inherit(const UpkeepBox& call, base::Micros now) {
   WaveProgress& progress = this->waves[call.wave];
   progress.wave.number = call.wave;
-  progress.boxes[call.box] = {.state = UpkeepState::kCalling,
-                              .worker_before = call.life,
+  progress.boxes[call.box] = {.state = UpkeepState::kRequested,
+                              .worker_before_call = call.life,
                               .since = now,
                               .may_have_begun = true,
                               .is_inherited = true};
@@ -49,12 +49,13 @@
 // An earlier owner calls for empty boxes only, and places nothing on them
 // before its call is settled: on a box where something runs the call was given
 // up, or carried out long ago. One that nobody hears may be on its way.
-FleetPlanner::Inherited FleetPlanner::JudgeInherited(const BoxesByName& boxes,
-                                                     const std::string& box) {
+FleetPlanner::InheritedCall FleetPlanner::ClassifyInherited(
+    const BoxesByName& boxes,
+    const std::string& box) {
   const auto found = boxes.find(box);
   if (found == boxes.end() || !found->second->available)
-    return Inherited::kWaits;
-  return found->second->idle ? Inherited::kMayBeMade : Inherited::kIsVoid;
+    return InheritedCall::kUnresolved;
+  return found->second->idle ? InheritedCall::kRetry : InheritedCall::kObsolete;
 }
 
 // A worker that crashed may have started again just before its box was taken:
@@ -68,20 +69,20 @@
     if (found == progress.boxes.end())
       continue;
     Upkeep& upkeep = found->second;
-    const bool can_be_back =
-        now >= upkeep.first_call + LeastTimeAway(this->limits.upkeep_duration);
-    if (upkeep.state == UpkeepState::kDown && can_be_back &&
-        jobs::IsOtherLife(upkeep.worker_before, worker))
+    const bool may_be_back =
+        now >= upkeep.first_call_at + MinTimeAway(this->limits.upkeep_duration);
+    if (upkeep.state == UpkeepState::kDown && may_be_back &&
+        jobs::IsOtherLife(upkeep.worker_before_call, worker))
       upkeep.state = UpkeepState::kDone;
   }
   const auto move = this->moves.find(box);
   if (move == this->moves.end() ||
-      !jobs::IsOtherLife(move->second.worker_before, worker))
+      !jobs::IsOtherLife(move->second.worker_before_call, worker))
     return;
-  const bool can_be_back = pool == move->second.pool &&
-                           now >= move->second.first_call +
-                                      LeastTimeAway(this->limits.move_duration);
-  if (!can_be_back)
+  const bool may_be_back = pool == move->second.pool &&
+                           now >= move->second.first_call_at +
+                                      MinTimeAway(this->limits.move_duration);
+  if (!may_be_back)
     return;
   if (move->second.done)
     this->moves.erase(move);
@@ -100,7 +101,7 @@
   std::erase_if(this->moves, [this](const auto& entry) {
     return entry.second.is_inherited && !this->listed.contains(entry.first);
   });
-  this->CompareWavesWithList(asked, now);
+  this->ReconcileWaves(asked, now);
 }
 
 void FleetPlanner::OnMoveOutcome(const MoveBox& order,
@@ -122,7 +123,7 @@
       move.since = now;
       break;
     case BoxCallOutcome::kUnknown:
-      move.next_call = now + kCallAgain;
+      move.next_call_at = now + kCallRetryDelay;
       break;
     case BoxCallOutcome::kNotSent:
     case BoxCallOutcome::kFenced:
@@ -136,7 +137,7 @@
 
 // Boxes at rest run nothing that would announce itself: the platform's list
 // alone knows them.
-FleetView FleetPlanner::WithBoxesAtRest(const FleetView& seen) const {
+FleetView FleetPlanner::WithSpareBoxes(const FleetView& seen) const {
   FleetView view = seen;
   std::set<std::string> known;
   for (const FleetBox& box : seen.boxes)
@@ -144,12 +145,12 @@
   for (const auto& [name, info] : this->listed) {
     if (known.contains(name) || info.state != BoxState::kUp)
       continue;
-    const bool at_rest =
+    const bool is_spare =
         std::any_of(view.pools.begin(), view.pools.end(),
                     [&info = info](const FleetPool& pool) {
                       return pool.spare && pool.name == info.pool;
                     });
-    if (at_rest) {
+    if (is_spare) {
       view.boxes.push_back({.name = name,
                             .pool = info.pool,
                             .worker = {.id = info.worker},
@@ -165,46 +166,47 @@
 
 std::vector<FleetAction> FleetPlanner::Plan(const FleetView& seen,
                                             base::Micros now) {
-  const FleetView view = this->WithBoxesAtRest(seen);
-  std::vector<FleetAction> steps;
+  const FleetView view = this->WithSpareBoxes(seen);
+  std::vector<FleetAction> actions;
   BoxesByName boxes;
   for (const FleetBox& box : view.boxes)
     boxes[box.name] = &box;
   for (auto& [number, progress] : this->waves) {
     if (!progress.completed)
-      this->PlanWave(progress, boxes, now, steps);
+      this->PlanWave(progress, boxes, now, actions);
   }
-  this->RepeatMoves(boxes, now, steps);
-  this->PlanMoves(view, now, steps);
-  return steps;
+  this->RetryMoves(boxes, now, actions);
+  this->PlanMoves(view, now, actions);
+  return actions;
 }
 
-void FleetPlanner::RepeatMoves(const BoxesByName& boxes,
-                               base::Micros now,
-                               std::vector<FleetAction>& steps) {
+void FleetPlanner::RetryMoves(const BoxesByName& boxes,
+                              base::Micros now,
+                              std::vector<FleetAction>& actions) {
   for (auto it = this->moves.begin(); it != this->moves.end();) {
     Move& move = it->second;
-    const Inherited inherited = move.is_inherited
-                                    ? JudgeInherited(boxes, it->first)
-                                    : Inherited::kMayBeMade;
-    const bool is_lost = move.done && now > move.since + kMoveLost;
-    if (is_lost || inherited == Inherited::kIsVoid) {
+    const InheritedCall inherited = move.is_inherited
+                                        ? ClassifyInherited(boxes, it->first)
+                                        : InheritedCall::kRetry;
+    const bool is_lost = move.done && now > move.since + kMoveTimeout;
+    if (is_lost || inherited == InheritedCall::kObsolete) {
       it = this->moves.erase(it);
       continue;
     }
-    if (!move.done && inherited == Inherited::kMayBeMade &&
-        MayBeAsked(move.in_flight, move.next_call, now)) {
+    if (!move.done && inherited == InheritedCall::kRetry &&
+        MayCall(move.in_flight, move.next_call_at, now)) {
       move.in_flight = true;
       move.is_inherited = false;
-      steps.emplace_back(MoveBox{
-          .box = it->first, .pool = move.pool, .life = move.worker_before});
+      actions.emplace_back(MoveBox{.box = it->first,
+                                   .pool = move.pool,
+                                   .life = move.worker_before_call});
     }
     ++it;
   }
 }
 
 // What each pool has, boxes on their way to it included.
-std::map<std::string, double> FleetPlanner::CoresHeld(
+std::map<std::string, double> FleetPlanner::CoresByPool(
     const FleetView& view) const {
   std::map<std::string, double> held;
   for (const FleetPool& pool : view.pools)
@@ -212,7 +214,7 @@
   for (const FleetBox& box : view.boxes) {
     const auto move = this->moves.find(box.name);
     const bool moves_now = move != this->moves.end();
-    if ((box.available || moves_now) && !this->InUpkeep(box.name))
+    if ((box.available || moves_now) && !this->IsInUpkeep(box.name))
       held[moves_now ? move->second.pool : box.pool] += box.cores;
   }
   return held;
@@ -223,10 +225,10 @@
 // anyway. Where no box is idle, some are kept free of further work.
 void FleetPlanner::PlanMoves(const FleetView& view,
                              base::Micros now,
-                             std::vector<FleetAction>& steps) {
+                             std::vector<FleetAction>& actions) {
   this->reclaimed.clear();
   // 1. What each pool has beyond its allotment.
-  std::map<std::string, double> surplus = this->CoresHeld(view);
+  std::map<std::string, double> surplus = this->CoresByPool(view);
   double total_cores = 0.0;
   double box_cores = 0.0;
   for (const auto& [pool, cores] : surplus)
@@ -235,21 +237,22 @@
     box_cores = std::max(box_cores, box.cores);
   if (box_cores <= 0.0)
     return;
-  std::vector<FleetPool> asking;
+  std::vector<FleetPool> requesting;
   for (const FleetPool& pool : view.pools) {
     if (!pool.spare)
-      asking.push_back(pool);
+      requesting.push_back(pool);
   }
   const std::map<std::string, double> allotted =
-      AllocateCores(asking, total_cores * kFill, box_cores * kFill);
-  for (const FleetPool& pool : asking)
-    surplus[pool.name] -= allotted.at(pool.name) / kFill;
+      AllocateCores(requesting, total_cores * kTargetUtilization,
+                    box_cores * kTargetUtilization);
+  for (const FleetPool& pool : requesting)
+    surplus[pool.name] -= allotted.at(pool.name) / kTargetUtilization;
   // 2. The shortest pool gets a box, until none is short or none can give.
   double short_cores = 0.0;
   while (true) {
     const FleetPool* shortest = nullptr;
-    for (const FleetPool& pool : asking) {
-      if (surplus[pool.name] >= -kShortBoxes * box_cores)
+    for (const FleetPool& pool : requesting) {
+      if (surplus[pool.name] >= -kShortageThreshold * box_cores)
         continue;
       if (!shortest || surplus[pool.name] < surplus[shortest->name])
         shortest = &pool;
@@ -258,7 +261,7 @@
       break;
     const FleetBox* donor = this->FindDonor(view, surplus, *shortest);
     if (!donor) {
-      for (const FleetPool& pool : asking)
+      for (const FleetPool& pool : requesting)
         short_cores += std::max(0.0, -surplus[pool.name]);
       break;
     }
@@ -266,15 +269,15 @@
     surplus[shortest->name] += donor->cores;
     Move& move = this->moves[donor->name];
     move.pool = shortest->name;
-    move.worker_before = donor->worker;
+    move.worker_before_call = donor->worker;
     move.since = now;
-    move.first_call = now;
+    move.first_call_at = now;
     move.in_flight = true;
-    steps.emplace_back(MoveBox{
+    actions.emplace_back(MoveBox{
         .box = donor->name, .pool = shortest->name, .life = donor->worker});
   }
   // 3. Boxes that are busy in a pool that has too many are to run empty.
-  this->Reclaim(view, surplus, short_cores);
+  this->SelectReclaimed(view, surplus, short_cores);
 }
 
 const FleetBox* FleetPlanner::FindDonor(
@@ -283,7 +286,7 @@
     const FleetPool& to) const {
   // A pool without a box for its lasting tasks gets one though the giver falls
   // short by as much as a box.
-  const bool has_none =
+  const bool has_no_box =
       to.min_boxes > 0 && std::none_of(view.boxes.begin(), view.boxes.end(),
                                        [this, &to](const FleetBox& box) {
                                          return box.available &&
@@ -291,38 +294,38 @@
                                                 !this->IsLeaving(box.name);
                                        });
   const FleetBox* best = nullptr;
-  double best_left = -1e9;
+  double best_remaining = -1e9;
   for (const FleetBox& box : view.boxes) {
     const auto pool = surplus.find(box.pool);
-    const bool may_go = box.available && box.idle && box.pool != to.name &&
-                        !this->moves.contains(box.name) &&
-                        !this->InUpkeep(box.name) && pool != surplus.end();
-    if (!may_go)
+    const bool may_move = box.available && box.idle && box.pool != to.name &&
+                          !this->moves.contains(box.name) &&
+                          !this->IsInUpkeep(box.name) && pool != surplus.end();
+    if (!may_move)
       continue;
-    const bool at_rest = std::any_of(
+    const bool is_spare = std::any_of(
         view.pools.begin(), view.pools.end(), [&box](const FleetPool& known) {
           return known.name == box.pool && known.spare;
         });
     // What the giving pool keeps beyond its allotment.
-    const double left = at_rest ? 0.0 : pool->second - box.cores;
-    const double least_left = has_none ? -box.cores : 0.0;
-    if (left < least_left || left <= best_left)
+    const double remaining = is_spare ? 0.0 : pool->second - box.cores;
+    const double min_remaining = has_no_box ? -box.cores : 0.0;
+    if (remaining < min_remaining || remaining <= best_remaining)
       continue;
     best = &box;
-    best_left = left;
+    best_remaining = remaining;
   }
   return best;
 }
 
-void FleetPlanner::Reclaim(const FleetView& view,
-                           std::map<std::string, double>& surplus,
-                           double short_cores) {
+void FleetPlanner::SelectReclaimed(const FleetView& view,
+                                   std::map<std::string, double>& surplus,
+                                   double short_cores) {
   std::vector<const FleetBox*> busy;
   for (const FleetBox& box : view.boxes) {
-    const bool may_go =
+    const bool may_move =
         box.available && !box.idle && box.long_running_tasks == 0 &&
-        !this->moves.contains(box.name) && !this->InUpkeep(box.name);
-    if (may_go)
+        !this->moves.contains(box.name) && !this->IsInUpkeep(box.name);
+    if (may_move)
       busy.push_back(&box);
   }
   // Those that are soonest empty first.
@@ -350,24 +353,24 @@
                      [&box](const auto& entry) {
                        const auto found = entry.second.boxes.find(box);
                        return found != entry.second.boxes.end() &&
-                              found->second.state == UpkeepState::kCalling;
+                              found->second.state == UpkeepState::kRequested;
                      });
 }
 
 bool FleetPlanner::IsLeaving(const std::string& box) const {
   return this->moves.contains(box) || this->reclaimed.contains(box) ||
-         this->InUpkeep(box);
+         this->IsInUpkeep(box);
 }
 
 jobs::WorkerLife FleetPlanner::WorkerBeforeCall(const std::string& box) const {
   const auto move = this->moves.find(box);
   if (move != this->moves.end())
-    return move->second.worker_before;
+    return move->second.worker_before_call;
   for (const auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found != progress.boxes.end() &&
         found->second.state == UpkeepState::kDown)
-      return found->second.worker_before;
+      return found->second.worker_before_call;
   }
   return {};
 }
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -1,5 +1,5 @@
 // Which boxes move to another pool and which get their upkeep, by one plan, so
-// that the two do not fight over a box. Views go in, steps come out.
+// that the two do not fight over a box. Views go in, actions come out.
 
 #ifndef SCHEDULER_FLEET_H_
 #define SCHEDULER_FLEET_H_
@@ -159,17 +159,17 @@
  private:
   enum class UpkeepState {
     kPending,
-    kEmptying,  // nothing further is placed there
-    kCalling,   // the platform has been asked; the answer is not known
+    kEvacuating,  // nothing further is placed there
+    kRequested,   // the platform has been asked; the answer is not known
     kDown,
     kDone,
   };
   struct Upkeep {
     UpkeepState state = UpkeepState::kPending;
-    jobs::WorkerLife worker_before;  // that was there
+    jobs::WorkerLife worker_before_call;  // that was there
     base::Micros since{};
-    base::Micros first_call{};  // it has not begun before
-    base::Micros next_call{};
+    base::Micros first_call_at{};  // it has not begun before
+    base::Micros next_call_at{};
     bool in_flight = false;
     bool may_have_begun = false;  // a call got no answer
     bool is_inherited = false;    // an earlier owner's call, not settled yet
@@ -177,16 +177,16 @@
   struct WaveProgress {
     Wave wave;
     std::map<std::string, Upkeep> boxes;
-    bool to_report = true;  // something new
+    bool has_news = true;  // something new
     bool completed = false;
     base::Micros since{};
   };
   struct Move {
     std::string pool;
-    jobs::WorkerLife worker_before;
+    jobs::WorkerLife worker_before_call;
     base::Micros since{};
-    base::Micros first_call{};  // it has not begun before
-    base::Micros next_call{};
+    base::Micros first_call_at{};  // it has not begun before
+    base::Micros next_call_at{};
     bool in_flight = false;
     bool done = false;          // the platform has said so
     bool arrived = false;       // a life in the new pool was seen before that
@@ -194,61 +194,64 @@
   };
   using BoxesByName = std::map<std::string, const FleetBox*>;
 
-  FleetView WithBoxesAtRest(const FleetView& view) const;
+  FleetView WithSpareBoxes(const FleetView& view) const;
   // A call that got no answer, or that the platform was too busy for, is made
   // again after this.
-  static constexpr base::Micros kCallAgain = std::chrono::milliseconds(500);
-  static bool MayBeAsked(bool in_flight,
-                         base::Micros next_call,
-                         base::Micros now) {
-    return !in_flight && now >= next_call;
+  static constexpr base::Micros kCallRetryDelay =
+      std::chrono::milliseconds(500);
+  static bool MayCall(bool in_flight,
+                      base::Micros next_call_at,
+                      base::Micros now) {
+    return !in_flight && now >= next_call_at;
   }
 
   // A wave as one plan finds it.
-  struct WaveTurn {
+  struct WaveCounts {
     int away = 0;
-    int pinned_away = 0;  // of them, emptying, with lasting tasks on them
+    int pinned_evacuating = 0;  // of them, emptying, with lasting tasks on them
     bool all_done = true;
     std::vector<std::pair<const FleetBox*, Upkeep*>> pending;
   };
 
   // An inherited call is made again on a box that has been heard and is empty.
-  enum class Inherited { kWaits, kMayBeMade, kIsVoid };
-  static Inherited JudgeInherited(const BoxesByName& boxes,
-                                  const std::string& box);
-  static bool TakeUp(Upkeep& upkeep, Inherited inherited);
-  ReportWave Report(const WaveProgress& progress) const;
-  void CompareWavesWithList(base::Micros asked, base::Micros now);
+  enum class InheritedCall { kUnresolved, kRetry, kObsolete };
+  static InheritedCall ClassifyInherited(const BoxesByName& boxes,
+                                         const std::string& box);
+  static bool ResolveInherited(Upkeep& upkeep, InheritedCall inherited);
+  ReportWave MakeReport(const WaveProgress& progress) const;
+  void ReconcileWaves(base::Micros asked, base::Micros now);
   // Is, or was lately, the box in the upkeep of another wave?
-  bool InUpkeepOfAnother(int wave,
-                         const std::string& box,
-                         base::Micros asked) const;
-  WaveTurn CountWave(WaveProgress& progress,
-                     const BoxesByName& boxes,
-                     base::Micros now) const;
-  static void TakeNext(const Wave& wave, WaveTurn& turn, base::Micros now);
-  static void CallOrEmpty(WaveProgress& progress,
-                          const BoxesByName& boxes,
-                          base::Micros now,
-                          std::vector<FleetAction>& steps);
+  bool IsInUpkeepForOtherWave(int wave,
+                              const std::string& box,
+                              base::Micros asked) const;
+  WaveCounts CountWave(WaveProgress& progress,
+                       const BoxesByName& boxes,
+                       base::Micros now) const;
+  static void SelectNext(const Wave& wave,
+                         WaveCounts& counts,
+                         base::Micros now);
+  static void RequestOrEvacuate(WaveProgress& progress,
+                                const BoxesByName& boxes,
+                                base::Micros now,
+                                std::vector<FleetAction>& actions);
   void PlanWave(WaveProgress& progress,
                 const BoxesByName& boxes,
                 base::Micros now,
-                std::vector<FleetAction>& steps);
+                std::vector<FleetAction>& actions);
   void PlanMoves(const FleetView& view,
                  base::Micros now,
-                 std::vector<FleetAction>& steps);
-  void RepeatMoves(const BoxesByName& boxes,
-                   base::Micros now,
-                   std::vector<FleetAction>& steps);
-  std::map<std::string, double> CoresHeld(const FleetView& view) const;
+                 std::vector<FleetAction>& actions);
+  void RetryMoves(const BoxesByName& boxes,
+                  base::Micros now,
+                  std::vector<FleetAction>& actions);
+  std::map<std::string, double> CoresByPool(const FleetView& view) const;
   const FleetBox* FindDonor(const FleetView& view,
                             const std::map<std::string, double>& surplus,
                             const FleetPool& to) const;
-  void Reclaim(const FleetView& view,
-               std::map<std::string, double>& surplus,
-               double short_cores);
-  bool InUpkeep(const std::string& box) const;
+  void SelectReclaimed(const FleetView& view,
+                       std::map<std::string, double>& surplus,
+                       double short_cores);
+  bool IsInUpkeep(const std::string& box) const;
 
   FleetTimings limits;
   std::map<int, WaveProgress> waves;
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -12,11 +12,11 @@
 // lasting tasks, from the beginning on: those leave a few at a time, and take
 // the longest. On five days of large fleets 20 boxes were left when their waves
 // were due, and 9 so.
-constexpr int kPinnedShare = 8;
+constexpr int kPinnedDivisor = 8;
 
 // A list of boxes may show what was true so long before it was asked for. Not
 // known from a run: the pages name no bound.
-constexpr base::Micros kListAge = std::chrono::seconds(4);
+constexpr base::Micros kMaxListAge = std::chrono::seconds(4);
 
 }  // namespace
 
@@ -49,38 +49,38 @@
     if (found == progress.boxes.end())
       continue;
     Upkeep& upkeep = found->second;
-    const bool is_inherited = upkeep.worker_before.empty();
+    const bool is_inherited = upkeep.worker_before_call.empty();
     if (upkeep.state == UpkeepState::kDown && is_inherited)
       upkeep.state = UpkeepState::kDone;
   }
 }
 
 // What an earlier owner began without coming to record it, and what is back.
-void FleetPlanner::CompareWavesWithList(base::Micros asked, base::Micros now) {
+void FleetPlanner::ReconcileWaves(base::Micros asked, base::Micros now) {
   for (auto& [number, progress] : this->waves) {
     for (auto& [name, upkeep] : progress.boxes) {
       const auto found = this->listed.find(name);
       // A box that has been taken away needs no upkeep.
-      const bool gone = found == this->listed.end();
+      const bool is_removed = found == this->listed.end();
       // The list may have been asked for before the call, and be read by an
       // owner that stood still meanwhile: it counts once it was asked for after
       // the upkeep.
-      const bool back = !gone && found->second.state == BoxState::kUp &&
+      const bool back = !is_removed && found->second.state == BoxState::kUp &&
                         upkeep.state == UpkeepState::kDown &&
                         asked > upkeep.since + this->limits.upkeep_duration;
-      if (gone || back)
+      if (is_removed || back)
         upkeep.state = UpkeepState::kDone;
       // An earlier owner began it, and did not come to record it.
       const bool may_begin = upkeep.state == UpkeepState::kPending ||
-                             upkeep.state == UpkeepState::kEmptying ||
+                             upkeep.state == UpkeepState::kEvacuating ||
                              upkeep.is_inherited;
       const bool begun =
-          !gone && found->second.state == BoxState::kUpkeep && may_begin;
-      if (begun && !this->InUpkeepOfAnother(number, name, asked)) {
+          !is_removed && found->second.state == BoxState::kUpkeep && may_begin;
+      if (begun && !this->IsInUpkeepForOtherWave(number, name, asked)) {
         upkeep.state = UpkeepState::kDown;
         upkeep.is_inherited = false;
         upkeep.since = now;
-        progress.to_report = true;
+        progress.has_news = true;
       }
     }
   }
@@ -88,20 +88,20 @@
 
 // The list does not say for which wave a box is in its upkeep. Waves overlap:
 // taken for both, one of them was said to be completed without the box.
-bool FleetPlanner::InUpkeepOfAnother(int wave,
-                                     const std::string& box,
-                                     base::Micros asked) const {
+bool FleetPlanner::IsInUpkeepForOtherWave(int wave,
+                                          const std::string& box,
+                                          base::Micros asked) const {
   return std::any_of(
       this->waves.begin(), this->waves.end(), [&](const auto& entry) {
         const auto found = entry.second.boxes.find(box);
         if (entry.first == wave || found == entry.second.boxes.end())
           return false;
         const Upkeep& upkeep = found->second;
-        const bool is_back_lately =
+        const bool is_recently_done =
             upkeep.state == UpkeepState::kDone &&
-            asked < upkeep.since + this->limits.upkeep_duration + kListAge;
-        return upkeep.state == UpkeepState::kCalling ||
-               upkeep.state == UpkeepState::kDown || is_back_lately;
+            asked < upkeep.since + this->limits.upkeep_duration + kMaxListAge;
+        return upkeep.state == UpkeepState::kRequested ||
+               upkeep.state == UpkeepState::kDown || is_recently_done;
       });
 }
 
@@ -120,11 +120,11 @@
     case BoxCallOutcome::kDone:
       upkeep.state = UpkeepState::kDown;
       upkeep.since = now;
-      wave->second.to_report = true;
+      wave->second.has_news = true;
       break;
     case BoxCallOutcome::kUnknown:
       upkeep.may_have_begun = true;
-      upkeep.next_call = now + kCallAgain;
+      upkeep.next_call_at = now + kCallRetryDelay;
       break;
     case BoxCallOutcome::kRefused:
       upkeep.state = UpkeepState::kDone;
@@ -136,12 +136,12 @@
       // An earlier call without an answer may have taken it down.
       if (!upkeep.may_have_begun)
         upkeep.state = UpkeepState::kPending;
-      upkeep.next_call = now + kCallAgain;
+      upkeep.next_call_at = now + kCallRetryDelay;
       break;
   }
 }
 
-ReportWave FleetPlanner::Report(const WaveProgress& progress) const {
+ReportWave FleetPlanner::MakeReport(const WaveProgress& progress) const {
   ReportWave report{
       .wave = progress.wave.number,
       .state = progress.completed ? WaveState::kCompleted : WaveState::kRunning,
@@ -158,55 +158,56 @@
 void FleetPlanner::PlanWave(WaveProgress& progress,
                             const BoxesByName& boxes,
                             base::Micros now,
-                            std::vector<FleetAction>& steps) {
+                            std::vector<FleetAction>& actions) {
   // 1. What is on its way, and what is left.
-  WaveTurn turn = this->CountWave(progress, boxes, now);
-  if (turn.all_done && !progress.wave.boxes.empty()) {
+  WaveCounts counts = this->CountWave(progress, boxes, now);
+  if (counts.all_done && !progress.wave.boxes.empty()) {
     progress.completed = true;
-    steps.emplace_back(this->Report(progress));
+    actions.emplace_back(this->MakeReport(progress));
     return;
   }
-  if (progress.to_report) {
-    progress.to_report = false;
-    steps.emplace_back(this->Report(progress));
+  if (progress.has_news) {
+    progress.has_news = false;
+    actions.emplace_back(this->MakeReport(progress));
   }
   // Which boxes are down is known from the list: an earlier owner may have
   // begun some.
   if (!this->has_list)
     return;
   // 2. Take the next, as many as may be away.
-  TakeNext(progress.wave, turn, now);
+  SelectNext(progress.wave, counts, now);
   // 3. Call for those that are empty; empty the others.
-  CallOrEmpty(progress, boxes, now, steps);
+  RequestOrEvacuate(progress, boxes, now, actions);
 }
 
-FleetPlanner::WaveTurn FleetPlanner::CountWave(WaveProgress& progress,
-                                               const BoxesByName& boxes,
-                                               base::Micros now) const {
-  WaveTurn turn;
+FleetPlanner::WaveCounts FleetPlanner::CountWave(WaveProgress& progress,
+                                                 const BoxesByName& boxes,
+                                                 base::Micros now) const {
+  WaveCounts counts;
   for (auto& [name, upkeep] : progress.boxes) {
     const auto found = boxes.find(name);
     const FleetBox* box = found == boxes.end() ? nullptr : found->second;
-    const bool emptying = upkeep.state == UpkeepState::kEmptying;
-    turn.all_done = turn.all_done && upkeep.state == UpkeepState::kDone;
-    turn.away += emptying || upkeep.state == UpkeepState::kCalling ||
-                 upkeep.state == UpkeepState::kDown;
-    turn.pinned_away += emptying && box && box->long_running_tasks > 0;
+    const bool evacuating = upkeep.state == UpkeepState::kEvacuating;
+    counts.all_done = counts.all_done && upkeep.state == UpkeepState::kDone;
+    counts.away += evacuating || upkeep.state == UpkeepState::kRequested ||
+                   upkeep.state == UpkeepState::kDown;
+    counts.pinned_evacuating +=
+        evacuating && box && box->long_running_tasks > 0;
     const bool can_go = upkeep.state == UpkeepState::kPending && box &&
-                        box->available && now >= upkeep.next_call &&
+                        box->available && now >= upkeep.next_call_at &&
                         !this->moves.contains(name);
     if (can_go)
-      turn.pending.emplace_back(box, &upkeep);
+      counts.pending.emplace_back(box, &upkeep);
   }
-  return turn;
+  return counts;
 }
 
 // Idle boxes, then those with little on them; of eight places one goes to boxes
 // that hold lasting tasks.
-void FleetPlanner::TakeNext(const Wave& wave,
-                            WaveTurn& turn,
-                            base::Micros now) {
-  std::stable_sort(turn.pending.begin(), turn.pending.end(),
+void FleetPlanner::SelectNext(const Wave& wave,
+                              WaveCounts& counts,
+                              base::Micros now) {
+  std::stable_sort(counts.pending.begin(), counts.pending.end(),
                    [](const auto& a, const auto& b) {
                      const FleetBox& x = *a.first;
                      const FleetBox& y = *b.first;
@@ -215,21 +216,22 @@
                      return x.busy_cores < y.busy_cores;
                    });
   const auto take = [&](Upkeep& upkeep) {
-    upkeep.state = UpkeepState::kEmptying;
+    upkeep.state = UpkeepState::kEvacuating;
     upkeep.since = now;
-    ++turn.away;
+    ++counts.away;
   };
-  const int pinned_share = wave.most_at_once / kPinnedShare;
-  for (const auto& [box, upkeep] : turn.pending) {
-    if (turn.away >= wave.most_at_once || turn.pinned_away >= pinned_share)
+  const int max_pinned = wave.most_at_once / kPinnedDivisor;
+  for (const auto& [box, upkeep] : counts.pending) {
+    if (counts.away >= wave.most_at_once ||
+        counts.pinned_evacuating >= max_pinned)
       break;
     if (box->long_running_tasks == 0)
       continue;
     take(*upkeep);
-    ++turn.pinned_away;
+    ++counts.pinned_evacuating;
   }
-  for (const auto& [box, upkeep] : turn.pending) {
-    if (turn.away >= wave.most_at_once)
+  for (const auto& [box, upkeep] : counts.pending) {
+    if (counts.away >= wave.most_at_once)
       break;
     if (upkeep->state == UpkeepState::kPending)
       take(*upkeep);
@@ -237,49 +239,50 @@
 }
 
 // An earlier owner's call becomes this one's: false while it must wait.
-bool FleetPlanner::TakeUp(Upkeep& upkeep, Inherited inherited) {
-  if (inherited == Inherited::kWaits)
+bool FleetPlanner::ResolveInherited(Upkeep& upkeep, InheritedCall inherited) {
+  if (inherited == InheritedCall::kUnresolved)
     return false;
   upkeep.is_inherited = false;
-  if (inherited == Inherited::kIsVoid)
-    upkeep.state = UpkeepState::kEmptying;
+  if (inherited == InheritedCall::kObsolete)
+    upkeep.state = UpkeepState::kEvacuating;
   return true;
 }
 
-void FleetPlanner::CallOrEmpty(WaveProgress& progress,
-                               const BoxesByName& boxes,
-                               base::Micros now,
-                               std::vector<FleetAction>& steps) {
+void FleetPlanner::RequestOrEvacuate(WaveProgress& progress,
+                                     const BoxesByName& boxes,
+                                     base::Micros now,
+                                     std::vector<FleetAction>& actions) {
   for (auto& [name, upkeep] : progress.boxes) {
     const auto found = boxes.find(name);
-    const bool here = found != boxes.end() && found->second->available;
-    if (upkeep.is_inherited && !TakeUp(upkeep, JudgeInherited(boxes, name)))
+    const bool is_available = found != boxes.end() && found->second->available;
+    if (upkeep.is_inherited &&
+        !ResolveInherited(upkeep, ClassifyInherited(boxes, name)))
       continue;
-    if (upkeep.state == UpkeepState::kEmptying && !here) {
+    if (upkeep.state == UpkeepState::kEvacuating && !is_available) {
       upkeep.state = UpkeepState::kPending;
       continue;
     }
-    const bool empty =
-        upkeep.state == UpkeepState::kEmptying && here && found->second->idle;
-    const bool again = upkeep.state == UpkeepState::kCalling;
-    if ((empty || again) &&
-        MayBeAsked(upkeep.in_flight, upkeep.next_call, now)) {
+    const bool empty = upkeep.state == UpkeepState::kEvacuating &&
+                       is_available && found->second->idle;
+    const bool is_retry = upkeep.state == UpkeepState::kRequested;
+    if ((empty || is_retry) &&
+        MayCall(upkeep.in_flight, upkeep.next_call_at, now)) {
       if (empty) {
-        upkeep.worker_before = found->second->worker;
-        upkeep.first_call = now;
+        upkeep.worker_before_call = found->second->worker;
+        upkeep.first_call_at = now;
       }
-      upkeep.state = UpkeepState::kCalling;
+      upkeep.state = UpkeepState::kRequested;
       upkeep.in_flight = true;
-      steps.emplace_back(UpkeepBox{.box = name,
-                                   .wave = progress.wave.number,
-                                   .life = upkeep.worker_before});
-    } else if (upkeep.state == UpkeepState::kEmptying) {
-      steps.emplace_back(EvacuateBox{.box = name});
+      actions.emplace_back(UpkeepBox{.box = name,
+                                     .wave = progress.wave.number,
+                                     .life = upkeep.worker_before_call});
+    } else if (upkeep.state == UpkeepState::kEvacuating) {
+      actions.emplace_back(EvacuateBox{.box = name});
     }
   }
 }
 
-bool FleetPlanner::InUpkeep(const std::string& box) const {
+bool FleetPlanner::IsInUpkeep(const std::string& box) const {
   for (const auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
