--- a/scheduler/box_requests.cc
+++ b/scheduler/box_requests.cc
@@ -7,28 +7,28 @@
 // An idle box is the most that another one could offer: while the pool has one
 // and its tasks wait on, more boxes help only if they are of another kind or
 // rack. So one more is tried now and then, less and less often.
-int BoxRequests::Ask(const std::string& pool,
-                     int boxes,
-                     int idle,
-                     base::Micros now) {
+int BoxRequests::MinBoxes(const std::string& pool,
+                          int boxes,
+                          int idle,
+                          base::Micros now) {
   const auto [entry, is_new] = this->requests.try_emplace(pool);
   Request& request = entry->second;
   if (is_new || idle == 0) {
-    request = {.boxes = boxes, .since = now};
+    request = {.boxes_before = boxes, .since = now};
     return boxes + 1;
   }
-  if (now < request.paused_until)
+  if (now < request.backoff_until)
     return 0;
-  const bool is_asking = request.paused_until <= request.since;
-  if (!is_asking) {
-    request.boxes = boxes;
+  const bool is_requesting = request.backoff_until <= request.since;
+  if (!is_requesting) {
+    request.boxes_before = boxes;
     request.since = now;
   }
-  const bool has_come = boxes > request.boxes;
-  if (!has_come && now < request.since + kBoxComes)
-    return request.boxes + 1;
-  request.paused_until = now + request.pause;
-  request.pause = std::min(2 * request.pause, kLongestPause);
+  const bool has_arrived = boxes > request.boxes_before;
+  if (!has_arrived && now < request.since + kArrivalTimeout)
+    return request.boxes_before + 1;
+  request.backoff_until = now + request.backoff;
+  request.backoff = std::min(2 * request.backoff, kMaxBackoff);
   return 0;
 }
 
--- a/scheduler/box_requests.h
+++ b/scheduler/box_requests.h
@@ -16,23 +16,23 @@
  public:
   // How many boxes the pool is to have at least for such tasks; 0: as many as
   // its cores need. `boxes` it has, of which `idle` could take anything.
-  int Ask(const std::string& pool, int boxes, int idle, base::Micros now);
+  int MinBoxes(const std::string& pool, int boxes, int idle, base::Micros now);
   // Nothing waits so in the pool.
-  void Forget(const std::string& pool) { this->requests.erase(pool); }
+  void Clear(const std::string& pool) { this->requests.erase(pool); }
 
  private:
   // The first pause after a box came and nothing started on it, and the
   // longest.
-  static constexpr base::Micros kFirstPause = std::chrono::seconds(4);
-  static constexpr base::Micros kLongestPause = std::chrono::seconds(64);
+  static constexpr base::Micros kInitialBackoff = std::chrono::seconds(4);
+  static constexpr base::Micros kMaxBackoff = std::chrono::seconds(64);
   // A box that was asked for comes within this, or none can be spared.
-  static constexpr base::Micros kBoxComes = std::chrono::seconds(4);
+  static constexpr base::Micros kArrivalTimeout = std::chrono::seconds(4);
 
   struct Request {
-    int boxes = 0;  // that the pool had
+    int boxes_before = 0;  // that the pool had
     base::Micros since{};
-    base::Micros pause = kFirstPause;
-    base::Micros paused_until{};
+    base::Micros backoff = kInitialBackoff;
+    base::Micros backoff_until{};
   };
 
   std::map<std::string, Request> requests;
--- a/scheduler/demand.cc
+++ b/scheduler/demand.cc
@@ -8,27 +8,28 @@
 
 }  // namespace
 
-void Demand::HandedIn(const std::string& queue,
-                      double core_seconds,
-                      base::Micros now) {
+void DemandTrend::RecordArrival(const std::string& queue,
+                                double core_seconds,
+                                base::Micros now) {
   std::deque<Arrival>& recent = this->arrivals[queue];
   recent.push_back({.at = now, .core_seconds = core_seconds});
   while (recent.front().at < now - 2 * kWindow)
     recent.pop_front();
 }
 
-double Demand::Slope(const std::string& queue, base::Micros now) const {
+double DemandTrend::CoresTrend(const std::string& queue,
+                               base::Micros now) const {
   const auto found = this->arrivals.find(queue);
   if (found == this->arrivals.end())
     return 0.0;
-  double slope = 0.0;
+  double trend = 0.0;
   for (const Arrival& arrival : found->second) {
     if (arrival.at >= now - kWindow)
-      slope += arrival.core_seconds;
+      trend += arrival.core_seconds;
     else if (arrival.at >= now - 2 * kWindow)
-      slope -= arrival.core_seconds;
+      trend -= arrival.core_seconds;
   }
-  return slope;
+  return trend;
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/demand.h
+++ b/scheduler/demand.h
@@ -11,15 +11,15 @@
 
 namespace quartzhoist::scheduler {
 
-class Demand {
+class DemandTrend {
  public:
   // Work in core-seconds.
-  void HandedIn(const std::string& queue,
-                double core_seconds,
-                base::Micros now);
+  void RecordArrival(const std::string& queue,
+                     double core_seconds,
+                     base::Micros now);
   // The change of what is handed in: cores over the last second, less those
   // over the second before. Negative while it falls.
-  double Slope(const std::string& queue, base::Micros now) const;
+  double CoresTrend(const std::string& queue, base::Micros now) const;
 
  private:
   struct Arrival {
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -13,25 +13,25 @@
 
 // How often the fleet is planned anew. A plan each 100 ms was not told apart
 // from this in 20 days with trouble (49 workers).
-constexpr base::Micros kFleetPeriod = milliseconds(250);
+constexpr base::Micros kPlanInterval = milliseconds(250);
 
 // A listing older than this says nothing of a lasting task: above the wait of
 // a look (2 s), below the time after which a silent task counts as away on the
 // sites (4.5 s).
-constexpr base::Micros kSeenLately = milliseconds(3000);
+constexpr base::Micros kMaxListingAge = milliseconds(3000);
 
 // The need counts the slope of what is handed in so many times. Of the work of
 // ten days with trouble, weighted by its value, 80.4% was in time with 4 and
 // 78.8% with 2 (49 workers); of six such days 85.0% and 84.4% (350 workers).
-constexpr double kSlopeWeight = 4.0;
+constexpr double kTrendWeight = 4.0;
 
 // A task that has waited for so long fits on no box that its pool has: memory
 // or the tasks that may not share a box are in the way. Longer than a turn and
 // a plan of the fleet (0.3 s); lasting tasks are to run again within 6 s.
-constexpr base::Micros kStuck = milliseconds(1000);
+constexpr base::Micros kStuckAfter = milliseconds(1000);
 // A pool whose work takes more of its cores than this is short of cores, and
 // gets boxes for that (kFill of fleet.cc, less some slack).
-constexpr double kCoresTaken = 0.7;
+constexpr double kFullPoolUtilization = 0.7;
 
 // Is it work that boxes could take up, or have?
 bool CountsAsDemand(const Task& task) {
@@ -72,17 +72,18 @@
     }
   }
   for (const jobs::Queue& queue : this->config.queues) {
-    const double slope = std::max(0.0, this->demand.Slope(queue.name, now));
+    const double trend =
+        std::max(0.0, this->demand.CoresTrend(queue.name, now));
     demand_by_pool[queue.service][queue.priority].expected_cores +=
-        kSlopeWeight * slope;
+        kTrendWeight * trend;
   }
-  std::map<std::string, int> least = this->LeastBoxes();
-  this->AddForStuckTasks(now, view, least);
+  std::map<std::string, int> min_boxes = this->LeastBoxes();
+  this->AddForStuckTasks(now, view, min_boxes);
   for (const jobs::Service& service : this->config.services) {
     view.pools.push_back({.name = service.name,
                           .spare = service.spare,
                           .demand = demand_by_pool[service.name],
-                          .min_boxes = least[service.name]});
+                          .min_boxes = min_boxes[service.name]});
   }
   return view;
 }
@@ -90,7 +91,7 @@
 // Lasting tasks that may not share a box need as many boxes at any time. (A box
 // that is emptied for a wave does not count as one of them.)
 std::map<std::string, int> Scheduler::LeastBoxes() const {
-  std::map<std::string, int> least;
+  std::map<std::string, int> min_boxes;
   for (const auto& [id, job] : this->jobs) {
     if (job.finished())
       continue;
@@ -105,12 +106,12 @@
         const std::int64_t most = step.most_per_worker;
         const std::int64_t boxes = most > 0 ? (tasks + most - 1) / most
                                             : std::min<std::int64_t>(tasks, 1);
-        int& known = least[job.queue.service];
+        int& known = min_boxes[job.queue.service];
         known = std::max(known, static_cast<int>(boxes));
       }
     }
   }
-  return least;
+  return min_boxes;
 }
 
 bool Scheduler::IsStuck(const ReadyTask& task,
@@ -119,7 +120,7 @@
   const Task& waiting = TaskAt(*task.job, task.place);
   return waiting.state == TaskState::kReady &&
          waiting.waits_for == WaitReason::kRoom &&
-         now - waiting.ready_since > kStuck &&
+         now - waiting.ready_since > kStuckAfter &&
          (task.prospect == Prospect::kLasting || has_cores);
 }
 
@@ -142,18 +143,18 @@
       cores += box.cores;
       taken += box.busy_cores;
     }
-    const bool has_cores = taken < kCoresTaken * cores;
+    const bool has_cores = taken < kFullPoolUtilization * cores;
     const bool is_stuck =
         std::any_of(tasks.begin(), tasks.end(), [&](const ReadyTask& task) {
           return this->IsStuck(task, has_cores, now);
         });
     if (!is_stuck) {
-      this->box_requests.Forget(service);
+      this->box_requests.Clear(service);
       continue;
     }
-    const int asked =
-        this->box_requests.Ask(service, boxes, idle[service], now);
-    least[service] = std::max(least[service], asked);
+    const int requested =
+        this->box_requests.MinBoxes(service, boxes, idle[service], now);
+    least[service] = std::max(least[service], requested);
   }
 }
 
@@ -223,8 +224,8 @@
   std::int64_t away = 0;
   const StepRuns& runs = StepAt(job->second, PlaceOf(id));
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
-    const bool itself = static_cast<int>(i) == id.index;
-    away += !itself && !this->IsSeenAtWork(runs.tasks[i], now);
+    const bool is_self = static_cast<int>(i) == id.index;
+    away += !is_self && !this->IsSeenAtWork(runs.tasks[i], now);
   }
   return away < step.may_be_away;
 }
@@ -234,7 +235,7 @@
   const auto worker = this->workers.find(task.worker);
   return task.at_work && worker != this->workers.end() &&
          worker->second.failed_calls == 0 &&
-         now - worker->second.last_answer < kSeenLately;
+         now - worker->second.last_answer < kMaxListingAge;
 }
 
 // A task is not interrupted for nothing: another worker must have room for it.
@@ -294,17 +295,17 @@
 void Scheduler::RunFleet(base::Micros now) {
   if (now < this->next_fleet)
     return;
-  this->next_fleet = now + kFleetPeriod;
-  for (FleetAction& step : this->fleet.Plan(this->ViewFleet(now), now)) {
-    if (const auto* evacuate = std::get_if<EvacuateBox>(&step)) {
+  this->next_fleet = now + kPlanInterval;
+  for (FleetAction& action : this->fleet.Plan(this->ViewFleet(now), now)) {
+    if (const auto* evacuate = std::get_if<EvacuateBox>(&action)) {
       this->StopForEvacuation(evacuate->box, now);
-    } else if (auto* move = std::get_if<MoveBox>(&step)) {
+    } else if (auto* move = std::get_if<MoveBox>(&action)) {
       move->evidence = this->EvidenceOf(move->box, now);
       this->actions.emplace_back(std::move(*move));
-    } else if (auto* upkeep = std::get_if<UpkeepBox>(&step)) {
+    } else if (auto* upkeep = std::get_if<UpkeepBox>(&action)) {
       upkeep->evidence = this->EvidenceOf(upkeep->box, now);
       this->actions.emplace_back(std::move(*upkeep));
-    } else if (const auto* report = std::get_if<ReportWave>(&step)) {
+    } else if (const auto* report = std::get_if<ReportWave>(&action)) {
       this->actions.emplace_back(*report);
     }
   }
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -82,7 +82,7 @@
     core_seconds += static_cast<double>(step.tasks * step.each.cpu_millis) /
                     1000.0 * base::Seconds(this->ExpectedRun(job, step));
   }
-  this->demand.HandedIn(job.queue.name, core_seconds, now);
+  this->demand.RecordArrival(job.queue.name, core_seconds, now);
   this->InheritLosses(job, now);
   this->InheritRuns(job, now);
   this->MeetJob(job, now);
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -396,7 +396,7 @@
   std::set<std::string> to_save;  // jobs whose progress changed
   std::set<std::string> timed;    // jobs with repeats to come
   RunTimes run_times;
-  Demand demand;
+  DemandTrend demand;
   Quotas quotas;
   DueShares due_shares;
   FleetPlanner fleet;
