--- a/scheduler/box_requests.cc
+++ b/scheduler/box_requests.cc
@@ -4,9 +4,9 @@
 
 namespace quartzhoist::scheduler {
 
-// An idle box is the most that another one could offer: while the pool has one
-// and its tasks wait on, more boxes help only if they are of another kind or
-// rack. So one more is tried now and then, less and less often.
+// While the pool has an idle box and its tasks still wait, another box helps
+// only if it is of another kind or in another rack. So further boxes are
+// requested one at a time with exponential backoff.
 int BoxRequests::MinBoxes(const std::string& pool,
                           int boxes,
                           int idle,
--- a/scheduler/box_requests.h
+++ b/scheduler/box_requests.h
@@ -1,5 +1,6 @@
-// Boxes that a pool asks for though its cores suffice: tasks wait there that
-// fit on none of its boxes, for memory or for those that may not share one.
+// Requests for additional boxes in pools that have enough cores but hold tasks
+// that fit on none of their boxes, for lack of memory or because of limits on
+// tasks per box.
 
 #ifndef SCHEDULER_BOX_REQUESTS_H_
 #define SCHEDULER_BOX_REQUESTS_H_
@@ -14,22 +15,23 @@
 
 class BoxRequests {
  public:
-  // How many boxes the pool is to have at least for such tasks; 0: as many as
-  // its cores need. `boxes` it has, of which `idle` could take anything.
+  // Returns the minimum number of boxes for a pool with such tasks; 0: no
+  // minimum. `boxes` counts the pool's boxes, `idle` those that are usable and
+  // empty.
   int MinBoxes(const std::string& pool, int boxes, int idle, base::Micros now);
-  // Nothing waits so in the pool.
+  // The pool has no such tasks any more.
   void Clear(const std::string& pool) { this->requests.erase(pool); }
 
  private:
-  // The first pause after a box came and nothing started on it, and the
-  // longest.
+  // Exponential backoff after a request that did not help: no box came, or one
+  // came and nothing started on it.
   static constexpr base::Micros kInitialBackoff = std::chrono::seconds(4);
   static constexpr base::Micros kMaxBackoff = std::chrono::seconds(64);
-  // A box that was asked for comes within this, or none can be spared.
+  // If no box arrives within this time, no pool can spare one.
   static constexpr base::Micros kArrivalTimeout = std::chrono::seconds(4);
 
   struct Request {
-    int boxes_before = 0;  // that the pool had
+    int boxes_before = 0;  // in the pool when it was made
     base::Micros since{};
     base::Micros backoff = kInitialBackoff;
     base::Micros backoff_until{};
--- a/scheduler/demand.h
+++ b/scheduler/demand.h
@@ -1,4 +1,4 @@
-// How much work each queue is handed, and how that changes.
+// Trend of the work submitted to each queue.
 
 #ifndef SCHEDULER_DEMAND_H_
 #define SCHEDULER_DEMAND_H_
@@ -13,12 +13,12 @@
 
 class DemandTrend {
  public:
-  // Work in core-seconds.
+  // Records work submitted to the queue.
   void RecordArrival(const std::string& queue,
                      double core_seconds,
                      base::Micros now);
-  // The change of what is handed in: cores over the last second, less those
-  // over the second before. Negative while it falls.
+  // Cores' worth of work submitted over the last second less that of the second
+  // before. Negative while the arrival rate falls.
   double CoresTrend(const std::string& queue, base::Micros now) const;
 
  private:
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -1,4 +1,5 @@
-// What the fleet's plan sees of the pools, and how boxes are emptied for it.
+// Scheduler's interface to the fleet planner: builds its view of the pools and
+// carries out its actions, including the evacuation of boxes.
 
 #include <algorithm>
 #include <utility>
@@ -11,29 +12,30 @@
 
 using std::chrono::milliseconds;
 
-// How often the fleet is planned anew. A plan each 100 ms was not told apart
-// from this in 20 days with trouble (49 workers).
+// Interval between planning rounds. 100 ms made no measurable difference in 20
+// test days with faults (49 workers).
 constexpr base::Micros kPlanInterval = milliseconds(250);
 
-// A listing older than this says nothing of a lasting task: above the wait of
-// a look (2 s), below the time after which a silent task counts as away on the
-// sites (4.5 s).
+// Maximum age of a listing that shows a long-running task at work. Above the
+// long-poll wait of a listing call (2 s), below the time after which the sites
+// count a silent task as away (4.5 s).
 constexpr base::Micros kMaxListingAge = milliseconds(3000);
 
-// The need counts the slope of what is handed in so many times. Of the work of
-// ten days with trouble, weighted by its value, 80.4% was in time with 4 and
-// 78.8% with 2 (49 workers); of six such days 85.0% and 84.4% (350 workers).
+// Weight of the arrival trend in a pool's expected demand. With 4, 80.4% of the
+// work, weighted by value, was on time over ten test days with faults, and
+// 78.8% with 2 (49 workers); over six such days 85.0% and 84.4% (350 workers).
 constexpr double kTrendWeight = 4.0;
 
-// A task that has waited for so long fits on no box that its pool has: memory
-// or the tasks that may not share a box are in the way. Longer than a turn and
-// a plan of the fleet (0.3 s); lasting tasks are to run again within 6 s.
+// A task that has waited this long for room is taken to fit on none of its
+// pool's boxes, for lack of memory or because of limits on tasks per box.
+// Longer than a scheduling turn plus a planning round (0.3 s); short enough for
+// long-running tasks to run again within the required 6 s.
 constexpr base::Micros kStuckAfter = milliseconds(1000);
-// A pool whose work takes more of its cores than this is short of cores, and
-// gets boxes for that (kFill of fleet.cc, less some slack).
+// Above this utilization a pool is short of cores and gets boxes on that
+// account (kTargetUtilization in fleet.cc, less some slack).
 constexpr double kFullPoolUtilization = 0.7;
 
-// Is it work that boxes could take up, or have?
+// Whether the task runs on a box, or waits for something that boxes provide.
 bool CountsAsDemand(const Task& task) {
   return task.state == TaskState::kPlaced ||
          (task.state == TaskState::kReady && IsServedByBoxes(task.waits_for));
@@ -49,8 +51,9 @@
     box.name = worker.info.box;
     box.pool = worker.info.service;
     box.worker = id;
-    // A lease that ran out in these books may have been renewed by another
-    // owner: only an answer says that the box is empty.
+    // A lease that expired in this owner's records may have been renewed by
+    // another owner: only an answer from the worker shows that the box is
+    // empty.
     box.available = worker.announced && worker.is_described && worker.listed &&
                     !worker.info.draining && !worker.runs_presumed_over;
     box.idle = worker.idle();
@@ -88,8 +91,8 @@
   return view;
 }
 
-// Lasting tasks that may not share a box need as many boxes at any time. (A box
-// that is emptied for a wave does not count as one of them.)
+// Boxes that each pool needs for long-running tasks with a limit per box. A box
+// being evacuated for a wave does not count towards them.
 std::map<std::string, int> Scheduler::LeastBoxes() const {
   std::map<std::string, int> min_boxes;
   for (const auto& [id, job] : this->jobs) {
@@ -124,8 +127,8 @@
          (task.prospect == Prospect::kLasting || has_cores);
 }
 
-// Cores alone do not show that a pool needs a box when its boxes are full of
-// something else: it gets one more than it has.
+// Raises the minimum of pools whose boxes are exhausted in something other than
+// cores, which core demand does not show, to one box more than they have.
 void Scheduler::AddForStuckTasks(base::Micros now,
                                  const FleetView& view,
                                  std::map<std::string, int>& least) {
@@ -205,15 +208,15 @@
     this->BoxTaken(order.box, now);
 }
 
-// All that ran on the box is over once the platform has taken it.
+// All runs on the box have ended once the platform has taken it.
 void Scheduler::BoxTaken(const std::string& box, base::Micros now) {
   const jobs::WorkerLife life = this->fleet.WorkerBeforeCall(box);
   if (!life.empty())
     this->LifeIsOver(life, LossSign::kBoxTaken, now);
 }
 
-// A lasting task may be interrupted while every other one of its step is at
-// work, or fewer are away than its limit allows.
+// A long-running task may be interrupted while fewer of the step's other tasks
+// are away than its limit allows; a step without a limit always allows it.
 bool Scheduler::MayInterrupt(const jobs::TaskId& id, base::Micros now) const {
   const auto job = this->jobs.find(id.job);
   if (job == this->jobs.end() || !Exists(job->second, PlaceOf(id)))
@@ -230,7 +233,7 @@
   return away < step.may_be_away;
 }
 
-// At work by a recent listing: its worker may have died since an older one.
+// Requires a recent listing, since the worker may have died after an older one.
 bool Scheduler::IsSeenAtWork(const Task& task, base::Micros now) const {
   const auto worker = this->workers.find(task.worker);
   return task.at_work && worker != this->workers.end() &&
@@ -238,7 +241,7 @@
          now - worker->second.last_answer < kMaxListingAge;
 }
 
-// A task is not interrupted for nothing: another worker must have room for it.
+// A task is only interrupted if another worker has room for it.
 bool Scheduler::HasPlaceElsewhere(const jobs::TaskId& id, base::Micros now) {
   const Job* job = this->FindJob(id.job);
   if (!job || !Exists(*job, PlaceOf(id)))
@@ -269,7 +272,7 @@
       if (!movable || !this->MayInterrupt(task, now) ||
           !this->HasPlaceElsewhere(task, now))
         continue;
-      // It is away from here on, before its end is listed.
+      // Counts as away at once, before the worker lists its end.
       Job* job = this->FindJob(task.job);
       if (job && Exists(*job, PlaceOf(task)))
         TaskAt(*job, PlaceOf(task)).at_work = false;
