--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -1,5 +1,5 @@
-// Which boxes an owner may move or send into upkeep when it does not know
-// whether it is the owner still.
+// Tests which boxes an owner may move while its ownership is uncertain or a
+// worker's state is unknown.
 
 #include <algorithm>
 #include <string>
@@ -28,8 +28,8 @@
           .ended = {}};
 }
 
-// A pool of four boxes: a and b each run a task of one lasting job, of which
-// one may be away, x and y nothing. Another pool has none.
+// A pool of four boxes: a and b each run one task of a long-running job that
+// allows one task to be away; x and y are idle. A second pool has no boxes.
 struct TwoLastingTasks {
   TwoLastingTasks() {
     jobs::Config config;
@@ -72,7 +72,7 @@
 
   void Confirm() { this->bench.Confirm(); }
 
-  // Work for two boxes comes to the pool that has none.
+  // Submits work for two boxes to the pool that has none.
   void SetOtherPoolShort() {
     jobs::Queue queue;
     queue.name = "urgent";
@@ -85,7 +85,7 @@
         this->bench.now);
   }
 
-  // Time passes, then the owner has a turn: the boxes that it moves.
+  // Advances the clock and runs one turn; returns the boxes it moves.
   std::vector<std::string> MovedAfter(base::Micros span) {
     this->bench.now += span;
     this->bench.scheduler.Advance(this->bench.now);
@@ -106,26 +106,25 @@
 
 }  // namespace
 
-// An owner stood still for longer than its leases last. Meanwhile another
-// daemon had taken over and renewed them, so that all tasks were at work. When
-// the first one woke it took every lease as over, dropped the runs, and so saw
-// idle boxes wherever a task worked; in the 20 ms before it heard of its loss
-// it sent those boxes to a pool that was short, and two tasks of a job that may
-// miss one ended in the same millisecond. What settled it: 19 lines "its lease
-// is over" of one owner at 13.003 s and its "ownership_lost" at 13.022 s; and
-// of a later one, asked at 35.008 s under epoch 3, seven seconds after epoch 4
-// had begun, "box_asked" with confirmed_ms 8314, heard_ms 9143, presumed_over
-// true, and at 35.033 s "box_moved" with outcome done.
+// An owner that is paused for longer than its leases takes them all as expired
+// when it resumes, and boxes with runs as idle, although another daemon has
+// taken over and renewed the leases. In the 20 ms before such an owner learned
+// of its loss it moved boxes with running tasks: two tasks of a job that allows
+// one to be away ended in the same millisecond. In the logs, one owner dropped
+// 19 leases at 13.003 s and reported "ownership_lost" at 13.022 s. Another
+// requested a move under epoch 3 seven seconds after epoch 4 had begun
+// (35.008 s, confirmed_ms 8314, heard_ms 9143, presumed_over true), and the box
+// moved at 35.033 s.
 BOOST_AUTO_TEST_CASE(OwnerThatStoodStillMovesNoBoxFromUnderALastingTask) {
   TwoLastingTasks two;
   two.SetOtherPoolShort();
   BOOST_TEST(two.MovedAfter(seconds(6)).empty());
 }
 
-// The same owner awake, but cut off from a zone and from the store: the leases
-// beyond the cut run out in its books alone. Trials with a zone cut for 10 s
-// showed it asking for boxes with confirmed_ms 4429 to 6580 and presumed_over
-// true, while another daemon held the ownership.
+// An owner that is partitioned from a zone and from the store lets leases
+// expire in its own records while another daemon renews them. In trials with a
+// zone cut off for 10 s it requested moves with confirmed_ms 4429 to 6580 and
+// presumed_over true while another daemon held the ownership.
 BOOST_AUTO_TEST_CASE(OwnerThatIsCutOffMovesNoBoxFromUnderALastingTask) {
   TwoLastingTasks two;
   for (int i = 0; i < 20; ++i) {
@@ -139,8 +138,8 @@
   }
 }
 
-// Boxes that were idle when an owner last knew may hold another owner's tasks:
-// one that cannot know itself to be the owner moves none.
+// Boxes last known as idle may hold another owner's tasks by now. An owner
+// moves none until its ownership is confirmed.
 BOOST_AUTO_TEST_CASE(IdleBoxIsNotMovedWhileTheOwnershipIsNotCertain) {
   TwoLastingTasks two;
   two.SetOtherPoolShort();
@@ -149,8 +148,9 @@
   BOOST_TEST(Holds(two.MovedAfter(milliseconds(300)), "box-x"));
 }
 
-// The ownership is certain, and a worker is silent until its lease is over:
-// nobody has heard that the box is empty, so it is not moved before it answers.
+// The ownership is confirmed, but a worker stays silent until its lease
+// expires. Nothing shows that its box is empty, so it is not moved before it
+// answers.
 BOOST_AUTO_TEST_CASE(BoxThatIsNotHeardSinceItsLeaseIsNotMoved) {
   TwoLastingTasks two;
   jobs::Step step = Bench::OneTask();
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -1,4 +1,4 @@
-// The fleet's plan: allotments, moves and waves.
+// Tests of the fleet planner: core allocation, moves and waves.
 
 #include <algorithm>
 #include <map>
@@ -59,7 +59,7 @@
   double sum = 0.0;
   for (const FleetPool& pool : pools) {
     sum += allotted.at(pool.name);
-    // All urgent work that is there is covered wherever it can be.
+    // Current urgent demand is covered in full if the total allows it.
     if (urgent <= total)
       RC_ASSERT(allotted.at(pool.name) >=
                 pool.demand.at(0).current_cores - 1e-6);
@@ -79,11 +79,12 @@
   BOOST_REQUIRE(moves.size() == 1);
   BOOST_TEST(moves[0].pool == "busy");
   BOOST_TEST(fleet.IsLeaving(moves[0].box));
-  // While it is on its way it counts for the pool it goes to.
+  // While it moves, it counts for its destination.
   BOOST_TEST(Only<MoveBox>(fleet.Plan(view, seconds(2))).empty());
 }
 
-// Overload elsewhere does not leave lasting tasks without a box.
+// Overload in one pool must not leave another without the box that its
+// long-running tasks need.
 BOOST_AUTO_TEST_CASE(PoolOfLastingTasksGetsItsBoxThoughAllAreShort) {
   FleetPlanner fleet(kLimits);
   FleetView view;
@@ -124,7 +125,7 @@
     box.idle = false;
     box.busy_cores = 10.0;
   }
-  view.boxes[1].long_running_tasks = 1;  // pinned: it stays
+  view.boxes[1].long_running_tasks = 1;  // holds a long-running task
   view.pools = {{.name = "patient", .spare = false, .demand = {}},
                 {.name = "urgent", .spare = false, .demand = {}}};
   view.pools[0].demand[1].current_cores = 100.0;
@@ -148,9 +149,9 @@
   }
   FleetPlanner fleet(kLimits);
   fleet.SetWave(wave, {}, seconds(1));
-  // Drawn as the days go by, so that every fault ends some time.
+  // Faults are drawn per call, so that each of them ends eventually.
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-  std::map<std::string, base::Micros> down;  // until when
+  std::map<std::string, base::Micros> down;  // end of the upkeep
   std::map<std::string, int> begun;
   bool completed = false;
   base::Micros now = seconds(1);
@@ -175,7 +176,7 @@
     for (const FleetAction& step : fleet.Plan(view, now)) {
       if (const auto* upkeep = std::get_if<UpkeepBox>(&step)) {
         // 0: not carried out, no answer; 1: carried out, no answer; 2 and 3:
-        // refused; else as asked.
+        // not carried out, answered so; else carried out and confirmed.
         const auto kind = random() % 6;
         const bool carried_out = kind == 1 || kind > 3;
         if (carried_out && boxes[upkeep->box].available) {
@@ -214,9 +215,9 @@
     RC_ASSERT(begun[box] >= 1);
 }
 
-// An owner that stands still reads an answer long after it was written: a list
-// of boxes that was asked for before an upkeep began shows its box as up, which
-// brings it back for nobody.
+// An owner that was paused may read a box list long after it was written. A
+// list requested before an upkeep shows the box as up, but must not count as
+// evidence that the box is back; otherwise the wave exceeds its limit.
 BOOST_AUTO_TEST_CASE(ListFromBeforeAnUpkeepDoesNotBringTheBoxBack) {
   FleetPlanner fleet(kLimits);
   const FleetView view{
@@ -240,14 +241,14 @@
   now += seconds(3);
   fleet.SetBoxes(listed, asked, now);
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).empty());
-  // One that is asked for now does.
+  // A list requested after the upkeep does count.
   fleet.SetBoxes(listed, now, now);
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).size() == 1U);
 }
 
-// An earlier owner's call for a box may be on its way: the box counts as away
-// from the beginning, and once it has been heard and is empty the call is made
-// anew, so that the earlier one comes too late.
+// A previous owner's upkeep call may still be in flight. The box counts as away
+// from the start, and once its worker has answered and is idle the call is
+// repeated, so that the box refuses the earlier one by its lower epoch.
 BOOST_AUTO_TEST_CASE(InheritedUpkeepCountsUntilItIsMadeAnew) {
   FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
@@ -264,7 +265,7 @@
                  .most_at_once = 1},
                 {}, now);
   BOOST_TEST(fleet.IsLeaving("b1"));
-  view.boxes[0].available = false;  // not heard yet
+  view.boxes[0].available = false;  // its worker has not answered yet
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).empty());
   view.boxes[0].available = true;
   const auto made = Only<UpkeepBox>(fleet.Plan(view, now + milliseconds(250)));
@@ -273,8 +274,8 @@
   BOOST_TEST(made[0].life.id == "b1-life");
 }
 
-// Something runs on the box: the earlier owner had given the call up, or it was
-// carried out long ago. Nothing there is ended for it.
+// A box with runs shows that the previous owner abandoned its call or that it
+// was carried out long ago. Repeating the call would end those runs.
 BOOST_AUTO_TEST_CASE(InheritedCallEndsNothingThatRuns) {
   FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
@@ -304,8 +305,8 @@
   BOOST_TEST(!fleet.HasPendingCall("b2"));
 }
 
-// Guards against one upkeep more than may be at once, when a worker that had
-// crashed starts again on a box that is being taken.
+// A crashed worker that restarts while its box goes down announces a new
+// instance. Taken as the end of the upkeep, this let the wave exceed its limit.
 BOOST_AUTO_TEST_CASE(LifeThatStartsWhileItsBoxIsTakenIsNotBackFromTheUpkeep) {
   FleetPlanner fleet(
       {.move_duration = milliseconds(1500), .upkeep_duration = seconds(2)});
@@ -331,8 +332,9 @@
              1U);
 }
 
-// A move without an answer had been carried out: its box is back in the new
-// pool when the repeated call says so, and serves at once.
+// A move that got no answer may have been carried out, and its box announced in
+// the new pool before the repeated call is confirmed. The box must be usable as
+// soon as it is.
 BOOST_AUTO_TEST_CASE(BoxThatIsBackServesOnceItsMoveIsAnswered) {
   FleetPlanner fleet(kLimits);
   const base::Micros now = seconds(10);
@@ -349,8 +351,8 @@
   BOOST_TEST(!fleet.IsLeaving("b1"));
 }
 
-// Many idle boxes and a few with lasting tasks, which leave one after the
-// other: the latter begin with the first, or they are what is late in the end.
+// Boxes with long-running tasks are evacuated one after the other. Unless they
+// start along with the idle ones, they miss the wave's deadline.
 BOOST_AUTO_TEST_CASE(BoxesOfLastingTasksBeginWithTheFirst) {
   FleetPlanner fleet(kLimits);
   Wave wave{
@@ -371,7 +373,7 @@
   const std::vector<FleetAction> steps = fleet.Plan(view, seconds(1));
   BOOST_TEST(Only<EvacuateBox>(steps).size() == 2U);
   BOOST_TEST(Only<UpkeepBox>(steps).size() == 14U);
-  // No further one before they are through.
+  // No further one before these are done.
   BOOST_TEST(Only<EvacuateBox>(fleet.Plan(view, seconds(2))).size() == 2U);
 }
 
@@ -385,7 +387,7 @@
   FleetView view;
   view.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")};
   view.pools = {{.name = "pool", .spare = false, .demand = {}}};
-  // b1 may still be down: nothing else begins before the list shows it up.
+  // b1 may still be down: nothing else starts before the list shows it up.
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(2))).empty());
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .worker = "b1-life"},
                   {.name = "b2", .pool = "pool", .worker = "b2-life"}},
@@ -405,7 +407,7 @@
   FleetView view;
   view.boxes = {IdleBox("b2", "pool")};
   view.pools = {{.name = "pool", .spare = false, .demand = {}}};
-  // Nothing is begun before the list has been read.
+  // No upkeep starts before the list has been read.
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(2))).empty());
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .state = BoxState::kUpkeep},
                   {.name = "b2", .pool = "pool", .worker = "b2-life"}},
@@ -417,8 +419,8 @@
   BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(6))).size() == 1U);
 }
 
-// Two waves cover one box: its upkeep for the one, as the list shows it, then
-// and for a while after, is not its upkeep for the other.
+// When two waves cover one box, its upkeep for one wave must not count for the
+// other, neither while the list shows it nor shortly after.
 BOOST_AUTO_TEST_CASE(UpkeepForOneWaveIsNoneForAnother) {
   FleetPlanner fleet(kLimits);
   const auto wave = [](int number) {
@@ -440,7 +442,7 @@
                         seconds(1));
   fleet.SetWave(wave(2), {}, seconds(2));
   fleet.SetBoxes({down}, seconds(2), seconds(2));
-  // Its new life is there before the list shows it.
+  // The new worker instance announces itself before the list shows the box up.
   fleet.OnBoxAnnounced("b1", {.id = "b1-next-life"}, "pool", seconds(3));
   fleet.SetBoxes({down}, seconds(4), seconds(4));
   view.boxes[0].worker = {.id = "b1-next-life"};
@@ -453,7 +455,7 @@
   BOOST_TEST(second[0].wave == 2);
 }
 
-// It may be used again before the box service has listed it.
+// Such a box may be used again before the box service lists it as up.
 BOOST_AUTO_TEST_CASE(BoxThatAnswersIsBackFromAnEarlierOwnersUpkeep) {
   FleetPlanner fleet(kLimits);
   const Wave wave{.number = 1,
