--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -247,11 +247,11 @@
     if (!pool.spare)
       requesting.push_back(pool);
   }
-  const std::map<std::string, double> allotted =
+  const std::map<std::string, double> allocated =
       AllocateCores(requesting, total_cores * kTargetUtilization,
                     box_cores * kTargetUtilization);
   for (const FleetPool& pool : requesting)
-    surplus[pool.name] -= allotted.at(pool.name) / kTargetUtilization;
+    surplus[pool.name] -= allocated.at(pool.name) / kTargetUtilization;
   // 2. Move boxes to the pool with the largest shortage until no pool is short
   // or no donor is left.
   double short_cores = 0.0;
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -179,7 +179,7 @@
   struct WaveProgress {
     Wave wave;
     std::map<std::string, Upkeep> boxes;
-    bool has_news = true;  // since the last report
+    bool needs_report = true;
     bool completed = false;
     base::Micros since{};
   };
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -41,7 +41,7 @@
   return found;
 }
 
-RC_BOOST_PROP(AllotmentsFitAndUrgentWorkComesFirst, ()) {
+RC_BOOST_PROP(AllocationFitsAndUrgentWorkComesFirst, ()) {
   std::vector<FleetPool> pools;
   const int count = *rc::gen::inRange(1, 6);
   double urgent = 0.0;
@@ -55,13 +55,13 @@
     pools.push_back(pool);
   }
   const double total = *rc::gen::inRange(0, 1500);
-  const auto allotted = AllocateCores(pools, total, 16.0);
+  const auto allocated = AllocateCores(pools, total, 16.0);
   double sum = 0.0;
   for (const FleetPool& pool : pools) {
-    sum += allotted.at(pool.name);
+    sum += allocated.at(pool.name);
     // Current urgent demand is covered in full if the total allows it.
     if (urgent <= total)
-      RC_ASSERT(allotted.at(pool.name) >=
+      RC_ASSERT(allocated.at(pool.name) >=
                 pool.demand.at(0).current_cores - 1e-6);
   }
   RC_ASSERT(sum <= total + 1e-6);
@@ -117,7 +117,7 @@
   BOOST_TEST(again[0].pool == "busy");
 }
 
-BOOST_AUTO_TEST_CASE(BusyBoxOfALessUrgentPoolRunsEmpty) {
+BOOST_AUTO_TEST_CASE(BusyBoxOfALessUrgentPoolIsReclaimed) {
   FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "patient"), IdleBox("b2", "patient")};
@@ -469,7 +469,7 @@
   BOOST_TEST(fleet.IsLeaving("b2"));
 }
 
-BOOST_AUTO_TEST_CASE(BoxThatHasBeenTakenAwayIsNotWaitedFor) {
+BOOST_AUTO_TEST_CASE(RemovedBoxDoesNotHoldUpItsWave) {
   FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"gone"},
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -82,7 +82,7 @@
         upkeep.state = UpkeepState::kDown;
         upkeep.is_inherited = false;
         upkeep.since = now;
-        progress.has_news = true;
+        progress.needs_report = true;
       }
     }
   }
@@ -123,7 +123,7 @@
     case BoxCallOutcome::kDone:
       upkeep.state = UpkeepState::kDown;
       upkeep.since = now;
-      wave->second.has_news = true;
+      wave->second.needs_report = true;
       break;
     case BoxCallOutcome::kUnknown:
       upkeep.may_have_begun = true;
@@ -169,8 +169,8 @@
     actions.emplace_back(this->MakeReport(progress));
     return;
   }
-  if (progress.has_news) {
-    progress.has_news = false;
+  if (progress.needs_report) {
+    progress.needs_report = false;
     actions.emplace_back(this->MakeReport(progress));
   }
   // A previous owner may have started upkeep without recording it; the box list
