--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -91,8 +91,8 @@
   return view;
 }
 
-// Boxes that each pool needs for long-running tasks with a limit per box. A box
-// being evacuated for a wave does not count towards them.
+// Boxes that each pool needs for its long-running tasks: as many as their limit
+// per box requires, else one. A box being evacuated for a wave does not count.
 std::map<std::string, int> Scheduler::LeastBoxes() const {
   std::map<std::string, int> min_boxes;
   for (const auto& [id, job] : this->jobs) {
