--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -1,4 +1,5 @@
-// What the fleet's plan sees of the pools, and how boxes are emptied for it.
+// Scheduler's interface to the fleet planner: builds its view of the pools and
+// carries out its actions, including the evacuation of boxes.
 
 #include <algorithm>
 #include <utility>
@@ -11,29 +12,30 @@
 
 using std::chrono::milliseconds;
 
-// How often the fleet is planned anew. A plan each 100 ms was not told apart
-// from this in 20 days with trouble (49 workers).
-constexpr base::Micros kFleetPeriod = milliseconds(250);
+// Interval between planning rounds. 100 ms made no measurable difference in 20
+// test days with faults (49 workers).
+constexpr base::Micros kPlanInterval = milliseconds(250);
 
-// A listing older than this says nothing of a lasting task: above the wait of
-// a look (2 s), below the time after which a silent task counts as away on the
-// sites (4.5 s).
-constexpr base::Micros kSeenLately = milliseconds(3000);
+// Maximum age of a listing that shows a long-running task at work. Above the
+// long-poll wait of a listing call (2 s), below the time after which the sites
+// count a silent task as away (4.5 s).
+constexpr base::Micros kMaxListingAge = milliseconds(3000);
 
-// The need counts the slope of what is handed in so many times. Of the work of
-// ten days with trouble, weighted by its value, 80.4% was in time with 4 and
-// 78.8% with 2 (49 workers); of six such days 85.0% and 84.4% (350 workers).
-constexpr double kSlopeWeight = 4.0;
+// Weight of the arrival trend in a pool's expected demand. With 4, 80.4% of the
+// work, weighted by value, was on time over ten test days with faults, and
+// 78.8% with 2 (49 workers); over six such days 85.0% and 84.4% (350 workers).
+constexpr double kTrendWeight = 4.0;
 
-// A task that has waited for so long fits on no box that its pool has: memory
-// or the tasks that may not share a box are in the way. Longer than a turn and
-// a plan of the fleet (0.3 s); lasting tasks are to run again within 6 s.
-constexpr base::Micros kStuck = milliseconds(1000);
-// A pool whose work takes more of its cores than this is short of cores, and
-// gets boxes for that (kFill of fleet.cc, less some slack).
-constexpr double kCoresTaken = 0.7;
+// A task that has waited this long for room is taken to fit on none of its
+// pool's boxes, for lack of memory or because of limits on tasks per box.
+// Longer than a scheduling turn plus a planning round (0.3 s); short enough for
+// long-running tasks to run again within the required 6 s.
+constexpr base::Micros kStuckAfter = milliseconds(1000);
+// Above this utilization a pool is short of cores and gets boxes on that
+// account (kTargetUtilization in fleet.cc, less some slack).
+constexpr double kFullPoolUtilization = 0.7;
 
-// Is it work that boxes could take up, or have?
+// Whether the task runs on a box, or waits for something that boxes provide.
 bool CountsAsDemand(const Task& task) {
   return task.state == TaskState::kPlaced ||
          (task.state == TaskState::kReady && IsServedByBoxes(task.waits_for));
@@ -43,22 +45,24 @@
 
 FleetView Scheduler::ViewFleet(base::Micros now) {
   FleetView view;
-  std::map<std::string, std::map<int, PoolNeed>> needs;
+  std::map<std::string, std::map<int, PoolDemand>> demand_by_pool;
   for (const auto& [id, worker] : this->workers) {
     FleetBox box;
     box.name = worker.info.box;
     box.pool = worker.info.service;
     box.worker = id;
-    // A lease that ran out in these books may have been renewed by another
-    // owner: only an answer says that the box is empty.
-    box.up = worker.is_announced && worker.is_described && worker.has_listing &&
-             !worker.info.draining && !worker.runs_presumed_over;
+    // A lease that expired in this owner's records may have been renewed by
+    // another owner: only an answer from the worker shows that the box is
+    // empty.
+    box.available = worker.is_announced && worker.is_described &&
+                    worker.has_listing && !worker.info.draining &&
+                    !worker.runs_presumed_over;
     box.idle = worker.idle();
     box.cores = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0;
     box.busy_cores = static_cast<double>(worker.used.cpu_millis) / 1000.0;
-    box.lasting = worker.lasting_runs;
+    box.long_running_tasks = worker.lasting_runs;
     for (const auto& [task, run] : worker.runs) {
-      needs[box.pool][this->PriorityOf(task)].now_cores +=
+      demand_by_pool[box.pool][this->PriorityOf(task)].current_cores +=
           static_cast<double>(run.reserved.cpu_millis) / 1000.0;
     }
     view.boxes.push_back(std::move(box));
@@ -67,29 +71,31 @@
     for (const ReadyTask& task : tasks) {
       const jobs::Step& step = StepOf(*task.job, task.place);
       if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.place)))
-        needs[service][task.priority].now_cores +=
+        demand_by_pool[service][task.priority].current_cores +=
             static_cast<double>(step.each.cpu_millis) / 1000.0;
     }
   }
   for (const jobs::Queue& queue : this->config.queues) {
-    const double slope = std::max(0.0, this->demand.Slope(queue.name, now));
-    needs[queue.service][queue.priority].soon_cores += kSlopeWeight * slope;
+    const double trend =
+        std::max(0.0, this->demand.CoresTrend(queue.name, now));
+    demand_by_pool[queue.service][queue.priority].expected_cores +=
+        kTrendWeight * trend;
   }
-  std::map<std::string, int> least = this->LeastBoxes();
-  this->AddForStuckTasks(now, view, least);
+  std::map<std::string, int> min_boxes = this->LeastBoxes();
+  this->AddForStuckTasks(now, view, min_boxes);
   for (const jobs::Service& service : this->config.services) {
     view.pools.push_back({.name = service.name,
                           .spare = service.spare,
-                          .needs = needs[service.name],
-                          .least_boxes = least[service.name]});
+                          .demand = demand_by_pool[service.name],
+                          .min_boxes = min_boxes[service.name]});
   }
   return view;
 }
 
-// Lasting tasks that may not share a box need as many boxes at any time. (A box
-// that is emptied for a wave does not count as one of them.)
+// Boxes that each pool needs for its long-running tasks: as many as their limit
+// per box requires, else one. A box being evacuated for a wave does not count.
 std::map<std::string, int> Scheduler::LeastBoxes() const {
-  std::map<std::string, int> least;
+  std::map<std::string, int> min_boxes;
   for (const auto& [id, job] : this->jobs) {
     if (job.finished())
       continue;
@@ -104,12 +110,12 @@
         const std::int64_t most = step.most_per_worker;
         const std::int64_t boxes = most > 0 ? (tasks + most - 1) / most
                                             : std::min<std::int64_t>(tasks, 1);
-        int& known = least[job.queue.service];
+        int& known = min_boxes[job.queue.service];
         known = std::max(known, static_cast<int>(boxes));
       }
     }
   }
-  return least;
+  return min_boxes;
 }
 
 bool Scheduler::IsStuck(const ReadyTask& task,
@@ -118,12 +124,12 @@
   const Task& waiting = TaskAt(*task.job, task.place);
   return waiting.state == TaskState::kReady &&
          waiting.waits_for == WaitReason::kRoom &&
-         now - waiting.ready_since > kStuck &&
+         now - waiting.ready_since > kStuckAfter &&
          (task.scheduling_class == SchedulingClass::kLongRunning || has_cores);
 }
 
-// Cores alone do not show that a pool needs a box when its boxes are full of
-// something else: it gets one more than it has.
+// Raises the minimum of pools whose boxes are exhausted in something other than
+// cores, which core demand does not show, to one box more than they have.
 void Scheduler::AddForStuckTasks(base::Micros now,
                                  const FleetView& view,
                                  std::map<std::string, int>& least) {
@@ -135,24 +141,24 @@
     double cores = 0.0;
     double taken = 0.0;
     for (const FleetBox& box : view.boxes) {
-      if (box.pool != service || !box.up)
+      if (box.pool != service || !box.available)
         continue;
       ++boxes;
       cores += box.cores;
       taken += box.busy_cores;
     }
-    const bool has_cores = taken < kCoresTaken * cores;
+    const bool has_cores = taken < kFullPoolUtilization * cores;
     const bool is_stuck =
         std::any_of(tasks.begin(), tasks.end(), [&](const ReadyTask& task) {
           return this->IsStuck(task, has_cores, now);
         });
     if (!is_stuck) {
-      this->box_requests.Forget(service);
+      this->box_requests.Clear(service);
       continue;
     }
-    const int asked =
-        this->box_requests.Ask(service, boxes, idle[service], now);
-    least[service] = std::max(least[service], asked);
+    const int requested =
+        this->box_requests.MinBoxes(service, boxes, idle[service], now);
+    least[service] = std::max(least[service], requested);
   }
 }
 
@@ -167,7 +173,7 @@
   this->fleet.SetWave(wave, begun, now);
   for (const auto& [id, worker] : this->workers) {
     if (worker.has_listing)
-      this->fleet.BoxAnswered(worker.info.box);
+      this->fleet.OnBoxAnswered(worker.info.box);
   }
 }
 
@@ -186,7 +192,7 @@
 void Scheduler::Moved(const MoveBox& order,
                       BoxCallOutcome outcome,
                       base::Micros now) {
-  this->fleet.Moved(order, outcome, now);
+  this->fleet.OnMoveOutcome(order, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
@@ -196,22 +202,22 @@
 void Scheduler::UpkeepBegun(const UpkeepBox& order,
                             BoxCallOutcome outcome,
                             base::Micros now) {
-  this->fleet.UpkeepBegun(order, outcome, now);
+  this->fleet.OnUpkeepOutcome(order, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
     this->BoxTaken(order.box, now);
 }
 
-// All that ran on the box is over once the platform has taken it.
+// All runs on the box have ended once the platform has taken it.
 void Scheduler::BoxTaken(const std::string& box, base::Micros now) {
-  const jobs::WorkerLife life = this->fleet.LifeBefore(box);
+  const jobs::WorkerLife life = this->fleet.WorkerBeforeCall(box);
   if (!life.empty())
     this->LifeIsOver(life, LossSign::kBoxTaken, now);
 }
 
-// A lasting task may be interrupted while every other one of its step is at
-// work, or fewer are away than its limit allows.
+// A long-running task may be interrupted while fewer of the step's other tasks
+// are away than its limit allows; a step without a limit always allows it.
 bool Scheduler::MayInterrupt(const jobs::TaskId& id, base::Micros now) const {
   const auto job = this->jobs.find(id.job);
   if (job == this->jobs.end() || !Exists(job->second, PlaceOf(id)))
@@ -222,21 +228,21 @@
   std::int64_t away = 0;
   const StepRuns& runs = StepAt(job->second, PlaceOf(id));
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
-    const bool itself = static_cast<int>(i) == id.index;
-    away += !itself && !this->IsSeenAtWork(runs.tasks[i], now);
+    const bool is_self = static_cast<int>(i) == id.index;
+    away += !is_self && !this->IsSeenAtWork(runs.tasks[i], now);
   }
   return away < step.may_be_away;
 }
 
-// At work by a recent listing: its worker may have died since an older one.
+// Requires a recent listing, since the worker may have died after an older one.
 bool Scheduler::IsSeenAtWork(const Task& task, base::Micros now) const {
   const auto worker = this->workers.find(task.worker);
   return task.at_work && worker != this->workers.end() &&
          worker->second.failed_calls == 0 &&
-         now - worker->second.last_answer_at < kSeenLately;
+         now - worker->second.last_answer_at < kMaxListingAge;
 }
 
-// A task is not interrupted for nothing: another worker must have room for it.
+// A task is only interrupted if another worker has room for it.
 bool Scheduler::HasPlaceElsewhere(const jobs::TaskId& id, base::Micros now) {
   const Job* job = this->FindJob(id.job);
   if (!job || !Exists(*job, PlaceOf(id)))
@@ -268,7 +274,7 @@
       if (!movable || !this->MayInterrupt(task, now) ||
           !this->HasPlaceElsewhere(task, now))
         continue;
-      // It is away from here on, before its end is listed.
+      // Counts as away at once, before the worker lists its end.
       Job* job = this->FindJob(task.job);
       if (job && Exists(*job, PlaceOf(task)))
         TaskAt(*job, PlaceOf(task)).at_work = false;
@@ -294,17 +300,17 @@
 void Scheduler::RunFleet(base::Micros now) {
   if (now < this->next_fleet)
     return;
-  this->next_fleet = now + kFleetPeriod;
-  for (FleetStep& step : this->fleet.Plan(this->ViewFleet(now), now)) {
-    if (const auto* evacuate = std::get_if<Evacuate>(&step)) {
+  this->next_fleet = now + kPlanInterval;
+  for (FleetAction& action : this->fleet.Plan(this->ViewFleet(now), now)) {
+    if (const auto* evacuate = std::get_if<EvacuateBox>(&action)) {
       this->StopForEvacuation(evacuate->box, now);
-    } else if (auto* move = std::get_if<MoveBox>(&step)) {
+    } else if (auto* move = std::get_if<MoveBox>(&action)) {
       move->evidence = this->EvidenceOf(move->box, now);
       this->actions.emplace_back(std::move(*move));
-    } else if (auto* upkeep = std::get_if<UpkeepBox>(&step)) {
+    } else if (auto* upkeep = std::get_if<UpkeepBox>(&action)) {
       upkeep->evidence = this->EvidenceOf(upkeep->box, now);
       this->actions.emplace_back(std::move(*upkeep));
-    } else if (const auto* report = std::get_if<ReportWave>(&step)) {
+    } else if (const auto* report = std::get_if<ReportWave>(&action)) {
       this->actions.emplace_back(*report);
     }
   }
--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -9,79 +9,84 @@
 
 using std::chrono::milliseconds;
 
-// A pool wants so much more than its work takes: tasks do not fill a box
+// Pools get demand / kTargetUtilization cores, since tasks do not pack boxes
 // exactly.
-constexpr double kFill = 0.85;
+constexpr double kTargetUtilization = 0.85;
 
-// A pool is short from this part of a box on.
-constexpr double kShortBoxes = 0.25;
+// A pool is short of cores once it lacks this fraction of a box.
+constexpr double kShortageThreshold = 0.25;
 
-// A moved box whose new life never shows is given up after this.
-constexpr base::Micros kMoveLost = std::chrono::seconds(8);
+// A confirmed move is dropped if no new worker instance announces itself within
+// this time.
+constexpr base::Micros kMoveTimeout = std::chrono::seconds(8);
 
-// No box is back sooner, though clocks run a little apart.
-base::Micros LeastTimeAway(base::Micros usual) {
-  return usual * 9 / 10;
+// Lower bound on the time a box is away; 10% less than the configured time
+// allows for clock drift.
+base::Micros MinTimeAway(base::Micros duration) {
+  return duration * 9 / 10;
 }
 
 }  // namespace
 
-Fleet::Fleet(const FleetLimits& chosen) : limits(chosen) {}
+FleetPlanner::FleetPlanner(const FleetTimings& chosen) : limits(chosen) {}
 
-void Fleet::Inherit(const MoveBox& call, base::Micros now) {
+void FleetPlanner::Inherit(const MoveBox& call, base::Micros now) {
   this->moves[call.box] = {.pool = call.pool,
-                           .worker_before = call.life,
+                           .worker_before_call = call.life,
                            .since = now,
                            .is_inherited = true};
 }
 
-// Counted as away from here on: the earlier owner's call may be on its way.
-void Fleet::Inherit(const UpkeepBox& call, base::Micros now) {
+// The box counts as away from now on: the previous owner's call may still be in
+// flight.
+void FleetPlanner::Inherit(const UpkeepBox& call, base::Micros now) {
   WaveProgress& progress = this->waves[call.wave];
   progress.wave.number = call.wave;
-  progress.boxes[call.box] = {.state = UpkeepState::kCalling,
-                              .worker_before = call.life,
+  progress.boxes[call.box] = {.state = UpkeepState::kRequested,
+                              .worker_before_call = call.life,
                               .since = now,
                               .may_have_begun = true,
                               .is_inherited = true};
 }
 
-// An earlier owner calls for empty boxes only, and places nothing on them
-// before its call is settled: on a box where something runs the call was given
-// up, or carried out long ago. One that nobody hears may be on its way.
-Fleet::Inherited Fleet::JudgeInherited(const BoxesByName& boxes,
-                                       const std::string& box) {
+// Owners call for idle boxes only and place nothing on them until the call is
+// resolved. So if the box has runs, the call was abandoned or carried out long
+// ago. If its worker has not answered, the box may be moving or going down.
+FleetPlanner::InheritedCall FleetPlanner::ClassifyInherited(
+    const BoxesByName& boxes,
+    const std::string& box) {
   const auto found = boxes.find(box);
-  if (found == boxes.end() || !found->second->up)
-    return Inherited::kWaits;
-  return found->second->idle ? Inherited::kMayBeMade : Inherited::kIsVoid;
+  if (found == boxes.end() || !found->second->available)
+    return InheritedCall::kUnresolved;
+  return found->second->idle ? InheritedCall::kRetry : InheritedCall::kObsolete;
 }
 
-// A worker that crashed may have started again just before its box was taken:
-// that life announces itself while the box is away.
-void Fleet::BoxSeen(const std::string& box,
-                    const jobs::WorkerLife& worker,
-                    const std::string& pool,
-                    base::Micros now) {
+// A new worker instance alone does not show that the box is back: a crashed
+// worker may have restarted just before the box went away, and announces itself
+// while it is away. Hence the minimum time away.
+void FleetPlanner::OnBoxAnnounced(const std::string& box,
+                                  const jobs::WorkerLife& worker,
+                                  const std::string& pool,
+                                  base::Micros now) {
   for (auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
       continue;
     Upkeep& upkeep = found->second;
-    const bool can_be_back =
-        now >= upkeep.first_call + LeastTimeAway(this->limits.upkeep_time);
-    if (upkeep.state == UpkeepState::kDown && can_be_back &&
-        jobs::IsOtherLife(upkeep.worker_before, worker))
+    const bool may_be_back =
+        now >= upkeep.first_call_at + MinTimeAway(this->limits.upkeep_duration);
+    if (upkeep.state == UpkeepState::kDown && may_be_back &&
+        jobs::IsOtherLife(upkeep.worker_before_call, worker))
       upkeep.state = UpkeepState::kDone;
   }
   const auto move = this->moves.find(box);
   if (move == this->moves.end() ||
-      !jobs::IsOtherLife(move->second.worker_before, worker))
+      !jobs::IsOtherLife(move->second.worker_before_call, worker))
     return;
-  const bool can_be_back =
-      pool == move->second.pool &&
-      now >= move->second.first_call + LeastTimeAway(this->limits.move_time);
-  if (!can_be_back)
+  const bool may_be_back = pool == move->second.pool &&
+                           now >= move->second.first_call_at +
+                                      MinTimeAway(this->limits.move_duration);
+  if (!may_be_back)
     return;
   if (move->second.done)
     this->moves.erase(move);
@@ -89,23 +94,23 @@
     move->second.arrived = true;
 }
 
-void Fleet::SetBoxes(const std::vector<BoxInfo>& boxes,
-                     base::Micros asked,
-                     base::Micros now) {
+void FleetPlanner::SetBoxes(const std::vector<BoxInfo>& boxes,
+                            base::Micros asked,
+                            base::Micros now) {
   this->listed.clear();
   for (const BoxInfo& box : boxes)
     this->listed[box.name] = box;
   this->has_list = true;
-  // A box that has been taken away moves nowhere.
+  // Drop inherited moves of boxes that no longer exist.
   std::erase_if(this->moves, [this](const auto& entry) {
     return entry.second.is_inherited && !this->listed.contains(entry.first);
   });
-  this->CompareWavesWithList(asked, now);
+  this->ReconcileWaves(asked, now);
 }
 
-void Fleet::Moved(const MoveBox& order,
-                  BoxCallOutcome outcome,
-                  base::Micros now) {
+void FleetPlanner::OnMoveOutcome(const MoveBox& order,
+                                 BoxCallOutcome outcome,
+                                 base::Micros now) {
   const auto found = this->moves.find(order.box);
   if (found == this->moves.end())
     return;
@@ -113,7 +118,8 @@
   move.in_flight = false;
   switch (outcome) {
     case BoxCallOutcome::kDone:
-      // An earlier call without an answer had moved it: it is back already.
+      // An earlier call, which got no answer, moved the box; it is back
+      // already.
       if (move.arrived) {
         this->moves.erase(found);
         break;
@@ -122,7 +128,7 @@
       move.since = now;
       break;
     case BoxCallOutcome::kUnknown:
-      move.next_call = now + kCallAgain;
+      move.next_call_at = now + kCallRetryDelay;
       break;
     case BoxCallOutcome::kNotSent:
     case BoxCallOutcome::kFenced:
@@ -134,9 +140,9 @@
   }
 }
 
-// Boxes at rest run nothing that would announce itself: the platform's list
-// alone knows them.
-FleetView Fleet::WithBoxesAtRest(const FleetView& seen) const {
+// Adds the boxes of spare pools. They run no worker that would announce itself,
+// so only the platform's list has them.
+FleetView FleetPlanner::WithSpareBoxes(const FleetView& seen) const {
   FleetView view = seen;
   std::set<std::string> known;
   for (const FleetBox& box : seen.boxes)
@@ -144,18 +150,18 @@
   for (const auto& [name, info] : this->listed) {
     if (known.contains(name) || info.state != BoxState::kUp)
       continue;
-    const bool at_rest =
+    const bool is_spare =
         std::any_of(view.pools.begin(), view.pools.end(),
                     [&info = info](const FleetPool& pool) {
                       return pool.spare && pool.name == info.pool;
                     });
-    if (at_rest) {
+    if (is_spare) {
       view.boxes.push_back({.name = name,
                             .pool = info.pool,
                             .worker = {.id = info.worker},
-                            .up = true,
+                            .available = true,
                             .idle = true,
-                            .lasting = 0,
+                            .long_running_tasks = 0,
                             .cores = info.cores,
                             .busy_cores = 0.0});
     }
@@ -163,68 +169,71 @@
   return view;
 }
 
-std::vector<FleetStep> Fleet::Plan(const FleetView& seen, base::Micros now) {
-  const FleetView view = this->WithBoxesAtRest(seen);
-  std::vector<FleetStep> steps;
+std::vector<FleetAction> FleetPlanner::Plan(const FleetView& seen,
+                                            base::Micros now) {
+  const FleetView view = this->WithSpareBoxes(seen);
+  std::vector<FleetAction> actions;
   BoxesByName boxes;
   for (const FleetBox& box : view.boxes)
     boxes[box.name] = &box;
   for (auto& [number, progress] : this->waves) {
     if (!progress.completed)
-      this->PlanWave(progress, boxes, now, steps);
+      this->PlanWave(progress, boxes, now, actions);
   }
-  this->RepeatMoves(boxes, now, steps);
-  this->PlanMoves(view, now, steps);
-  return steps;
+  this->RetryMoves(boxes, now, actions);
+  this->PlanMoves(view, now, actions);
+  return actions;
 }
 
-void Fleet::RepeatMoves(const BoxesByName& boxes,
-                        base::Micros now,
-                        std::vector<FleetStep>& steps) {
+void FleetPlanner::RetryMoves(const BoxesByName& boxes,
+                              base::Micros now,
+                              std::vector<FleetAction>& actions) {
   for (auto it = this->moves.begin(); it != this->moves.end();) {
     Move& move = it->second;
-    const Inherited inherited = move.is_inherited
-                                    ? JudgeInherited(boxes, it->first)
-                                    : Inherited::kMayBeMade;
-    const bool is_lost = move.done && now > move.since + kMoveLost;
-    if (is_lost || inherited == Inherited::kIsVoid) {
+    const InheritedCall inherited = move.is_inherited
+                                        ? ClassifyInherited(boxes, it->first)
+                                        : InheritedCall::kRetry;
+    const bool is_lost = move.done && now > move.since + kMoveTimeout;
+    if (is_lost || inherited == InheritedCall::kObsolete) {
       it = this->moves.erase(it);
       continue;
     }
-    if (!move.done && inherited == Inherited::kMayBeMade &&
-        MayBeAsked(move.in_flight, move.next_call, now)) {
+    if (!move.done && inherited == InheritedCall::kRetry &&
+        MayCall(move.in_flight, move.next_call_at, now)) {
       move.in_flight = true;
       move.is_inherited = false;
-      steps.emplace_back(MoveBox{
-          .box = it->first, .pool = move.pool, .life = move.worker_before});
+      actions.emplace_back(MoveBox{.box = it->first,
+                                   .pool = move.pool,
+                                   .life = move.worker_before_call});
     }
     ++it;
   }
 }
 
-// What each pool has, boxes on their way to it included.
-std::map<std::string, double> Fleet::CoresHeld(const FleetView& view) const {
+// Cores per pool; a moving box counts for its destination.
+std::map<std::string, double> FleetPlanner::CoresByPool(
+    const FleetView& view) const {
   std::map<std::string, double> held;
   for (const FleetPool& pool : view.pools)
     held[pool.name] = 0.0;
   for (const FleetBox& box : view.boxes) {
     const auto move = this->moves.find(box.name);
     const bool moves_now = move != this->moves.end();
-    if ((box.up || moves_now) && !this->InUpkeep(box.name))
+    if ((box.available || moves_now) && !this->IsInUpkeep(box.name))
       held[moves_now ? move->second.pool : box.pool] += box.cores;
   }
   return held;
 }
 
-// An idle box goes from a pool that has more than its allotment to the one that
-// is shortest; boxes at rest come last, since those in pools are paid for
-// anyway. Where no box is idle, some are kept free of further work.
-void Fleet::PlanMoves(const FleetView& view,
-                      base::Micros now,
-                      std::vector<FleetStep>& steps) {
+// Moves idle boxes from pools above their allocation to the pool with the
+// largest shortage. Spare boxes are used last, since boxes in pools are paid
+// for anyway. Where no idle box is left, busy ones are reclaimed.
+void FleetPlanner::PlanMoves(const FleetView& view,
+                             base::Micros now,
+                             std::vector<FleetAction>& actions) {
   this->reclaimed.clear();
-  // 1. What each pool has beyond its allotment.
-  std::map<std::string, double> surplus = this->CoresHeld(view);
+  // 1. Compute each pool's surplus over its allocation.
+  std::map<std::string, double> surplus = this->CoresByPool(view);
   double total_cores = 0.0;
   double box_cores = 0.0;
   for (const auto& [pool, cores] : surplus)
@@ -233,21 +242,23 @@
     box_cores = std::max(box_cores, box.cores);
   if (box_cores <= 0.0)
     return;
-  std::vector<FleetPool> asking;
+  std::vector<FleetPool> requesting;
   for (const FleetPool& pool : view.pools) {
     if (!pool.spare)
-      asking.push_back(pool);
+      requesting.push_back(pool);
   }
-  const std::map<std::string, double> allotted =
-      AllotCores(asking, total_cores * kFill, box_cores * kFill);
-  for (const FleetPool& pool : asking)
-    surplus[pool.name] -= allotted.at(pool.name) / kFill;
-  // 2. The shortest pool gets a box, until none is short or none can give.
+  const std::map<std::string, double> allocated =
+      AllocateCores(requesting, total_cores * kTargetUtilization,
+                    box_cores * kTargetUtilization);
+  for (const FleetPool& pool : requesting)
+    surplus[pool.name] -= allocated.at(pool.name) / kTargetUtilization;
+  // 2. Move boxes to the pool with the largest shortage until no pool is short
+  // or no donor is left.
   double short_cores = 0.0;
   while (true) {
     const FleetPool* shortest = nullptr;
-    for (const FleetPool& pool : asking) {
-      if (surplus[pool.name] >= -kShortBoxes * box_cores)
+    for (const FleetPool& pool : requesting) {
+      if (surplus[pool.name] >= -kShortageThreshold * box_cores)
         continue;
       if (!shortest || surplus[pool.name] < surplus[shortest->name])
         shortest = &pool;
@@ -256,7 +267,7 @@
       break;
     const FleetBox* donor = this->FindDonor(view, surplus, *shortest);
     if (!donor) {
-      for (const FleetPool& pool : asking)
+      for (const FleetPool& pool : requesting)
         short_cores += std::max(0.0, -surplus[pool.name]);
       break;
     }
@@ -264,64 +275,66 @@
     surplus[shortest->name] += donor->cores;
     Move& move = this->moves[donor->name];
     move.pool = shortest->name;
-    move.worker_before = donor->worker;
+    move.worker_before_call = donor->worker;
     move.since = now;
-    move.first_call = now;
+    move.first_call_at = now;
     move.in_flight = true;
-    steps.emplace_back(MoveBox{
+    actions.emplace_back(MoveBox{
         .box = donor->name, .pool = shortest->name, .life = donor->worker});
   }
-  // 3. Boxes that are busy in a pool that has too many are to run empty.
-  this->Reclaim(view, surplus, short_cores);
+  // 3. For the remaining shortage, reclaim busy boxes of pools with a surplus.
+  this->SelectReclaimed(view, surplus, short_cores);
 }
 
-const FleetBox* Fleet::FindDonor(const FleetView& view,
-                                 const std::map<std::string, double>& surplus,
-                                 const FleetPool& to) const {
-  // A pool without a box for its lasting tasks gets one though the giver falls
-  // short by as much as a box.
-  const bool has_none = to.least_boxes > 0 &&
-                        std::none_of(view.boxes.begin(), view.boxes.end(),
-                                     [this, &to](const FleetBox& box) {
-                                       return box.up && box.pool == to.name &&
-                                              !this->IsLeaving(box.name);
-                                     });
+const FleetBox* FleetPlanner::FindDonor(
+    const FleetView& view,
+    const std::map<std::string, double>& surplus,
+    const FleetPool& to) const {
+  // A pool that needs boxes and has none gets its first one even if the donor
+  // pool then falls short by up to one box.
+  const bool has_no_box =
+      to.min_boxes > 0 && std::none_of(view.boxes.begin(), view.boxes.end(),
+                                       [this, &to](const FleetBox& box) {
+                                         return box.available &&
+                                                box.pool == to.name &&
+                                                !this->IsLeaving(box.name);
+                                       });
   const FleetBox* best = nullptr;
-  double best_left = -1e9;
+  double best_remaining = -1e9;
   for (const FleetBox& box : view.boxes) {
     const auto pool = surplus.find(box.pool);
-    const bool may_go = box.up && box.idle && box.pool != to.name &&
-                        !this->moves.contains(box.name) &&
-                        !this->InUpkeep(box.name) && pool != surplus.end();
-    if (!may_go)
+    const bool may_move = box.available && box.idle && box.pool != to.name &&
+                          !this->moves.contains(box.name) &&
+                          !this->IsInUpkeep(box.name) && pool != surplus.end();
+    if (!may_move)
       continue;
-    const bool at_rest = std::any_of(
+    const bool is_spare = std::any_of(
         view.pools.begin(), view.pools.end(), [&box](const FleetPool& known) {
           return known.name == box.pool && known.spare;
         });
-    // What the giving pool keeps beyond its allotment.
-    const double left = at_rest ? 0.0 : pool->second - box.cores;
-    const double least_left = has_none ? -box.cores : 0.0;
-    if (left < least_left || left <= best_left)
+    // Surplus that the donor pool keeps.
+    const double remaining = is_spare ? 0.0 : pool->second - box.cores;
+    const double min_remaining = has_no_box ? -box.cores : 0.0;
+    if (remaining < min_remaining || remaining <= best_remaining)
       continue;
     best = &box;
-    best_left = left;
+    best_remaining = remaining;
   }
   return best;
 }
 
-void Fleet::Reclaim(const FleetView& view,
-                    std::map<std::string, double>& surplus,
-                    double short_cores) {
+void FleetPlanner::SelectReclaimed(const FleetView& view,
+                                   std::map<std::string, double>& surplus,
+                                   double short_cores) {
   std::vector<const FleetBox*> busy;
   for (const FleetBox& box : view.boxes) {
-    const bool may_go = box.up && !box.idle && box.lasting == 0 &&
-                        !this->moves.contains(box.name) &&
-                        !this->InUpkeep(box.name);
-    if (may_go)
+    const bool may_move =
+        box.available && !box.idle && box.long_running_tasks == 0 &&
+        !this->moves.contains(box.name) && !this->IsInUpkeep(box.name);
+    if (may_move)
       busy.push_back(&box);
   }
-  // Those that are soonest empty first.
+  // Least loaded boxes first: they should become idle soonest.
   std::stable_sort(busy.begin(), busy.end(),
                    [](const FleetBox* a, const FleetBox* b) {
                      return a->busy_cores < b->busy_cores;
@@ -338,7 +351,7 @@
   }
 }
 
-bool Fleet::HasOpenCall(const std::string& box) const {
+bool FleetPlanner::HasPendingCall(const std::string& box) const {
   const auto move = this->moves.find(box);
   if (move != this->moves.end() && !move->second.done)
     return true;
@@ -346,29 +359,29 @@
                      [&box](const auto& entry) {
                        const auto found = entry.second.boxes.find(box);
                        return found != entry.second.boxes.end() &&
-                              found->second.state == UpkeepState::kCalling;
+                              found->second.state == UpkeepState::kRequested;
                      });
 }
 
-bool Fleet::IsLeaving(const std::string& box) const {
+bool FleetPlanner::IsLeaving(const std::string& box) const {
   return this->moves.contains(box) || this->reclaimed.contains(box) ||
-         this->InUpkeep(box);
+         this->IsInUpkeep(box);
 }
 
-jobs::WorkerLife Fleet::LifeBefore(const std::string& box) const {
+jobs::WorkerLife FleetPlanner::WorkerBeforeCall(const std::string& box) const {
   const auto move = this->moves.find(box);
   if (move != this->moves.end())
-    return move->second.worker_before;
+    return move->second.worker_before_call;
   for (const auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found != progress.boxes.end() &&
         found->second.state == UpkeepState::kDown)
-      return found->second.worker_before;
+      return found->second.worker_before_call;
   }
   return {};
 }
 
-bool Fleet::WantsBoxes() const {
+bool FleetPlanner::NeedsBoxList() const {
   return !this->has_list || this->HasOpenWave() || !this->moves.empty();
 }
 
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -59,7 +59,7 @@
     this->actions.emplace_back(Note{worker.info.life.id, "answers again"});
   if (!worker.has_listing) {
     ++this->worker_change_count;
-    this->fleet.BoxAnswered(worker.info.box);
+    this->fleet.OnBoxAnswered(worker.info.box);
     // From now on the worker refuses grants of earlier owners. Without this
     // bound the lasting tasks of a worker that died 3 s after a takeover waited
     // another 7 s.
