--- a/entry/box_calls_test.cc
+++ b/entry/box_calls_test.cc
@@ -83,13 +83,13 @@
   first.calls.Ask(
       scheduler::MoveBox{.box = "a", .pool = "pool", .life = {.id = "a-1"}});
   first.calls.Ask(
-      scheduler::UpkeepBox{.box = "b", .wave = 7, .life = {.id = "b-1"}});
+      scheduler::MaintainBox{.box = "b", .wave = 7, .life = {.id = "b-1"}});
   BOOST_REQUIRE(first.Records(2));
   Owner next(bench, 2);
   BOOST_REQUIRE(next.Claims());
   BOOST_TEST(next.inherited == kBoth);
   first.calls.Ask(
-      scheduler::UpkeepBox{.box = "c", .wave = 7, .life = {.id = "c-1"}});
+      scheduler::MaintainBox{.box = "c", .wave = 7, .life = {.id = "c-1"}});
   BOOST_TEST(first.ActUntil([&] { return first.fenced; }));
   BOOST_TEST(first.recorded.size() == 2U);
   // The third knows what the second has not settled.
--- a/entry/decision_log.cc
+++ b/entry/decision_log.cc
@@ -43,15 +43,15 @@
 
 }  // namespace
 
-void LogJobOver(const scheduler::JobOver& over) {
-  const scheduler::JobStory& story = over.story;
+void LogJobOver(const scheduler::JobFinished& over) {
+  const scheduler::JobStory& story = over.timings;
   // A job that was cancelled before it began has no first place.
   const base::Micros first = story.first_placed.value_or(milliseconds(-1));
   base::Log(base::Event::kJobOver,
             {{"job", over.job},
              {"queue", over.queue},
              {"state", base::NameOf(jobs::kJobStateNames, over.state)},
-             {"took_ms", base::Millis(over.took)},
+             {"took_ms", base::Millis(over.duration)},
              {"objective_ms", base::Millis(over.objective)},
              {"first_place_ms", base::Millis(first)},
              {"longest_wait_ms", base::Millis(story.longest_wait)},
@@ -61,13 +61,13 @@
 }
 
 void LogWorkerLost(const scheduler::WorkerLost& lost) {
-  const bool was_heard = lost.heard_ago >= base::Micros::zero();
+  const bool was_heard = lost.last_answer_ago >= base::Micros::zero();
   base::Log(base::Event::kWorkerLost,
             {{"worker", lost.worker.id},
              {"born_ms", lost.worker.born_ms},
              {"box", lost.box},
-             {"sign", base::NameOf(scheduler::kLossSignNames, lost.sign)},
-             {"heard_ms", was_heard ? base::Millis(lost.heard_ago) : -1},
+             {"sign", base::NameOf(scheduler::kLossReasonNames, lost.reason)},
+             {"heard_ms", was_heard ? base::Millis(lost.last_answer_ago) : -1},
              {"count", lost.runs.size()},
              {"runs", RunsText(lost.runs)}});
 }
@@ -77,21 +77,22 @@
             {{"worker", restarted.worker.id},
              {"born_ms", restarted.worker.born_ms},
              {"earlier_born_ms", restarted.earlier_born_ms},
-             {"ends_read", restarted.ends_read},
-             {"moved_runs", restarted.moved_runs}});
+             {"ends_read", restarted.last_end_sequence},
+             {"moved_runs", restarted.transferred_runs}});
 }
 
-void LogEndSkipped(const scheduler::EndSkipped& skipped) {
+void LogEndSkipped(const scheduler::RunEndIgnored& skipped) {
   const jobs::TaskId& task = skipped.end.task;
   base::Log(base::Event::kEndSkipped,
             {{"worker", skipped.worker.id},
              {"born_ms", skipped.worker.born_ms},
-             {"number", skipped.end.number},
-             {"ends_read", skipped.ends_read},
+             {"number", skipped.end.sequence},
+             {"ends_read", skipped.last_end_sequence},
              {"task", fmt::format("{}.{}.{}.{}", task.job, task.occurrence,
                                   task.step, task.index)},
              {"run", skipped.end.run},
-             {"how", base::NameOf(scheduler::kRunEndNames, skipped.end.how)}});
+             {"how", base::NameOf(scheduler::kRunEndReasonNames,
+                                  skipped.end.reason)}});
 }
 
 void LogTaskGivenUp(const scheduler::TaskGivenUp& given_up) {
@@ -103,7 +104,7 @@
        {"workers", LivesText(given_up.losses)}});
 }
 
-void LogNote(const scheduler::Note& note) {
+void LogNote(const scheduler::LogNote& note) {
   base::Log(base::Event::kDecision,
             {{"subject", note.subject}, {"text", note.text}});
 }
--- a/entry/decision_log.h
+++ b/entry/decision_log.h
@@ -7,12 +7,12 @@
 
 namespace quartzhoist::entry {
 
-void LogJobOver(const scheduler::JobOver& over);
+void LogJobOver(const scheduler::JobFinished& over);
 void LogTaskGivenUp(const scheduler::TaskGivenUp& given_up);
 void LogWorkerLost(const scheduler::WorkerLost& lost);
 void LogWorkerRestarted(const scheduler::WorkerRestarted& restarted);
-void LogEndSkipped(const scheduler::EndSkipped& skipped);
-void LogNote(const scheduler::Note& note);
+void LogEndSkipped(const scheduler::RunEndIgnored& skipped);
+void LogNote(const scheduler::LogNote& note);
 
 }  // namespace quartzhoist::entry
 
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -199,8 +199,8 @@
     // The look that waits there for an end brings the news.
     this->workers.Look(
         this->To(id),
-        {.worker = id, .acknowledged = 0, .wait = {}, .renews = true}, deadline,
-        [](const platform::LookResult&) {});
+        {.worker = id, .acknowledged = 0, .max_wait = {}, .renews_lease = true},
+        deadline, [](const platform::LookResult&) {});
   }
 }
 
@@ -278,10 +278,10 @@
     void operator()(scheduler::StopRun& order) const {
       manager.Enqueue(std::move(order));
     }
-    void operator()(scheduler::PaceRun& order) const {
+    void operator()(scheduler::ThrottleRun& order) const {
       manager.Enqueue(std::move(order));
     }
-    void operator()(const scheduler::LookAt& order) const {
+    void operator()(const scheduler::PollWorker& order) const {
       manager.SendLook(order);
     }
     void operator()(scheduler::SaveProgress& save) const {
@@ -289,20 +289,24 @@
           EncodeKept({.shard = manager.shard.number, .text = save.text});
       manager.saves.Add(std::move(save));
     }
-    void operator()(const scheduler::ReadJob& read) const {
+    void operator()(const scheduler::LoadJob& read) const {
       manager.ReadJob(read.job);
     }
-    void operator()(const scheduler::AskAdvice& ask) const { manager.Ask(ask); }
+    void operator()(const scheduler::RequestAdvice& ask) const {
+      manager.Ask(ask);
+    }
     void operator()(const scheduler::MoveBox& order) const {
       manager.box_calls.Ask(order);
     }
-    void operator()(const scheduler::UpkeepBox& order) const {
+    void operator()(const scheduler::MaintainBox& order) const {
       manager.box_calls.Ask(order);
     }
     void operator()(const scheduler::ReportWave& report) const {
       manager.waves.Report(report);
     }
-    void operator()(const scheduler::JobOver& over) const { LogJobOver(over); }
+    void operator()(const scheduler::JobFinished& over) const {
+      LogJobOver(over);
+    }
     void operator()(const scheduler::WorkerLost& lost) const {
       manager.counters.Add(base::Counter::kWorkersLost);
       LogWorkerLost(lost);
@@ -310,14 +314,14 @@
     void operator()(const scheduler::WorkerRestarted& restarted) const {
       LogWorkerRestarted(restarted);
     }
-    void operator()(const scheduler::EndSkipped& skipped) const {
+    void operator()(const scheduler::RunEndIgnored& skipped) const {
       LogEndSkipped(skipped);
     }
     void operator()(const scheduler::TaskGivenUp& task) const {
       manager.counters.Add(base::Counter::kTasksGivenUp);
       LogTaskGivenUp(task);
     }
-    void operator()(const scheduler::Note& note) const { LogNote(note); }
+    void operator()(const scheduler::LogNote& note) const { LogNote(note); }
   };
   std::visit(Visitor{*this}, action);
 }
@@ -357,14 +361,14 @@
 void Manager::GiveBack(const std::deque<Order>& given) {
   for (const Order& order : given) {
     if (const auto* start = std::get_if<scheduler::StartRun>(&order))
-      this->scheduler.Started(*start, scheduler::OrderOutcome::kNotSent,
+      this->scheduler.Started(*start, scheduler::CommandOutcome::kNotSent,
                               base::MonotonicNow());
   }
 }
 
 void Manager::OrderAnswered(const jobs::WorkerLife& worker,
-                            scheduler::OrderOutcome outcome) {
-  const bool silent = outcome == scheduler::OrderOutcome::kUnknown;
+                            scheduler::CommandOutcome outcome) {
+  const bool silent = outcome == scheduler::CommandOutcome::kUnknown;
   WorkerOrders& queue = this->orders[worker];
   queue.in_flight = false;
   // A worker that does not answer holds nothing up: starts that have not left
@@ -374,7 +378,7 @@
     waiting.swap(queue.waiting);
   for (Order& order : waiting) {
     if (const auto* start = std::get_if<scheduler::StartRun>(&order)) {
-      this->scheduler.Started(*start, scheduler::OrderOutcome::kNotSent,
+      this->scheduler.Started(*start, scheduler::CommandOutcome::kNotSent,
                               base::MonotonicNow());
     } else {
       queue.waiting.push_back(std::move(order));
@@ -382,7 +386,7 @@
   }
   this->SendNext(worker);
   // What was carried out frees nothing: a listing will tell its end.
-  if (outcome != scheduler::OrderOutcome::kDone)
+  if (outcome != scheduler::CommandOutcome::kDone)
     this->ActSoon();
 }
 
@@ -397,7 +401,7 @@
   const std::int64_t deadline = this->scheduler.Deadline(worker, end);
   const bool wanted = this->scheduler.StillWanted(order);
   if (deadline <= 0 || end <= now || !wanted) {
-    this->scheduler.Started(order, scheduler::OrderOutcome::kNotSent, now);
+    this->scheduler.Started(order, scheduler::CommandOutcome::kNotSent, now);
     this->orders[worker].in_flight = false;
     this->SendNext(worker);
     return;
@@ -409,15 +413,15 @@
        lives = this->alive](const platform::StartResult& result) {
         if (!*lives)
           return;
-        const scheduler::OrderOutcome outcome = result.outcome;
-        const bool unknown = outcome == scheduler::OrderOutcome::kUnknown;
+        const scheduler::CommandOutcome outcome = result.outcome;
+        const bool unknown = outcome == scheduler::CommandOutcome::kUnknown;
         base::Log(
             unknown ? base::Event::kRunUnsettled : base::Event::kRunStarted,
             {{"task", platform::TaskName(order.task)},
              {"run", order.run},
              {"worker", worker.id},
              {"outcome",
-              base::NameOf(scheduler::kOrderOutcomeNames, outcome)}});
+              base::NameOf(scheduler::kCommandOutcomeNames, outcome)}});
         this->scheduler.Started(order, outcome, base::MonotonicNow(),
                                 result.clock_ms);
         this->OrderAnswered(worker, outcome);
@@ -428,7 +432,7 @@
                    const scheduler::StopRun& order) {
   this->workers.Stop(this->To(worker), order,
                      [this, worker, order,
-                      lives = this->alive](scheduler::OrderOutcome outcome) {
+                      lives = this->alive](scheduler::CommandOutcome outcome) {
                        if (!*lives)
                          return;
                        this->scheduler.Stopped(order, outcome,
@@ -438,22 +442,22 @@
 }
 
 void Manager::Send(const jobs::WorkerLife& worker,
-                   const scheduler::PaceRun& order) {
+                   const scheduler::ThrottleRun& order) {
   this->workers.Pace(
       this->To(worker), order,
-      [this, worker, lives = this->alive](scheduler::OrderOutcome outcome) {
+      [this, worker, lives = this->alive](scheduler::CommandOutcome outcome) {
         if (!*lives)
           return;
         this->OrderAnswered(worker, outcome);
       });
 }
 
-void Manager::SendLook(const scheduler::LookAt& order) {
+void Manager::SendLook(const scheduler::PollWorker& order) {
   const base::Micros now = base::MonotonicNow();
   const base::Micros end = this->scheduler.LeaseEnd(now);
   const jobs::WorkerLife worker = order.worker;
   const std::int64_t deadline =
-      order.renews ? this->scheduler.Deadline(worker, end) : 0;
+      order.renews_lease ? this->scheduler.Deadline(worker, end) : 0;
   this->scheduler.LookSent(order, now);
   if (deadline > 0)
     this->scheduler.LookGrants(worker, end);
@@ -463,7 +467,7 @@
         if (!*lives)
           return;
         const base::Micros then = base::MonotonicNow();
-        if (result.outcome == scheduler::OrderOutcome::kDone)
+        if (result.outcome == scheduler::CommandOutcome::kDone)
           this->scheduler.Listed(worker, result.listing, then);
         else
           this->scheduler.LookFailed(worker, result.outcome, then);
@@ -471,7 +475,7 @@
       });
 }
 
-void Manager::Ask(const scheduler::AskAdvice& ask) {
+void Manager::Ask(const scheduler::RequestAdvice& ask) {
   this->advisor.Ask(ask, [this, ask, lives = this->alive](
                              const std::optional<scheduler::Advice>& advice) {
     if (!*lives)
--- a/entry/manager.h
+++ b/entry/manager.h
@@ -70,8 +70,8 @@
   std::string Dump() const;
 
  private:
-  using Order =
-      std::variant<scheduler::StartRun, scheduler::StopRun, scheduler::PaceRun>;
+  using Order = std::
+      variant<scheduler::StartRun, scheduler::StopRun, scheduler::ThrottleRun>;
   // Orders to one worker go one after the other over one connection.
   struct WorkerOrders {
     std::deque<Order> waiting;
@@ -117,12 +117,13 @@
   void SendNext(const jobs::WorkerLife& worker);
   void Send(const jobs::WorkerLife& worker, const scheduler::StartRun& order);
   void Send(const jobs::WorkerLife& worker, const scheduler::StopRun& order);
-  void Send(const jobs::WorkerLife& worker, const scheduler::PaceRun& order);
+  void Send(const jobs::WorkerLife& worker,
+            const scheduler::ThrottleRun& order);
   void GiveBack(const std::deque<Order>& given);
   void OrderAnswered(const jobs::WorkerLife& worker,
-                     scheduler::OrderOutcome outcome);
-  void SendLook(const scheduler::LookAt& order);
-  void Ask(const scheduler::AskAdvice& ask);
+                     scheduler::CommandOutcome outcome);
+  void SendLook(const scheduler::PollWorker& order);
+  void Ask(const scheduler::RequestAdvice& ask);
   void ReadJob(const std::string& job);
   void ReadRowOf(const std::string& job,
                  const platform::RowKey& at,
@@ -133,11 +134,11 @@
   void ReadJobsAgain();
   void LogBoxAsked(const char* call,
                    const std::string& box,
-                   const scheduler::BoxEvidence& evidence) const;
+                   const scheduler::BoxCallContext& evidence) const;
   BoxCalls::Events BoxCallEvents();
   void RecordBoxCalls();
   void SendBox(const scheduler::MoveBox& order);
-  void SendBox(const scheduler::UpkeepBox& order);
+  void SendBox(const scheduler::MaintainBox& order);
   void SaveAll();
   void Save(std::vector<scheduler::SaveProgress> batch);
   bool MustSaveAgain(const scheduler::SaveProgress& save,
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -35,7 +35,7 @@
                 this->scheduler.Moved(move, scheduler::BoxCallOutcome::kNotSent,
                                       base::MonotonicNow());
               }
-              void operator()(const scheduler::UpkeepBox& upkeep) const {
+              void operator()(const scheduler::MaintainBox& upkeep) const {
                 this->scheduler.UpkeepBegun(upkeep,
                                             scheduler::BoxCallOutcome::kNotSent,
                                             base::MonotonicNow());
@@ -58,15 +58,15 @@
 // other line.
 void Manager::LogBoxAsked(const char* call,
                           const std::string& box,
-                          const scheduler::BoxEvidence& evidence) const {
+                          const scheduler::BoxCallContext& evidence) const {
   base::Log(base::Event::kBoxAsked,
             {{"call", call},
              {"box", box},
              {"epoch", this->epoch},
              {"confirmed_ms", base::Millis(evidence.confirmed_ago)},
-             {"heard_ms", evidence.heard_ago < base::Micros::zero()
+             {"heard_ms", evidence.last_answer_ago < base::Micros::zero()
                               ? -1
-                              : base::Millis(evidence.heard_ago)},
+                              : base::Millis(evidence.last_answer_ago)},
              {"presumed_over", evidence.runs_presumed_over}});
 }
 
@@ -90,7 +90,7 @@
                    });
 }
 
-void Manager::SendBox(const scheduler::UpkeepBox& order) {
+void Manager::SendBox(const scheduler::MaintainBox& order) {
   this->LogBoxAsked("upkeep", order.box, order.evidence);
   const base::Micros sent = base::MonotonicNow();
   this->boxes.Upkeep(order, this->epoch,
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -68,7 +68,7 @@
     const platform::RowKey row = ProgressRow(save.job);
     write.conditions.push_back({.at = row, .version = save.version});
     write.puts.push_back({.at = row, .value = save.text});
-    if (save.over)
+    if (save.is_over)
       write.removes.push_back(JobRow(save.job, this->shard));
   }
   ++this->saves_in_flight;
--- a/entry/save_queue.cc
+++ b/entry/save_queue.cc
@@ -11,7 +11,7 @@
 
 // A row saved is a condition and a put; a job that is over loses its other row.
 std::size_t EntriesOf(const scheduler::SaveProgress& save) {
-  return save.over ? 3 : 2;
+  return save.is_over ? 3 : 2;
 }
 
 std::string PartOf(const scheduler::SaveProgress& save) {
--- a/entry/save_queue_test.cc
+++ b/entry/save_queue_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 scheduler::SaveProgress SaveOf(const std::string& job) {
-  return {.job = job, .text = "t", .version = 1, .change = 1, .over = false};
+  return {.job = job, .text = "t", .version = 1, .change = 1, .is_over = false};
 }
 
 BOOST_AUTO_TEST_CASE(SavesOfOnePartGoTogetherAndOneAtATime) {
--- a/entry/save_result_test.cc
+++ b/entry/save_result_test.cc
@@ -31,7 +31,7 @@
           .text = EncodeKept({.text = jobs::EncodeProgress({})}),
           .version = 7,
           .change = 4,
-          .over = false};
+          .is_over = false};
 }
 
 const platform::WriteResult kConflict{.outcome =
--- a/entry/shards.cc
+++ b/entry/shards.cc
@@ -60,7 +60,7 @@
                         const Shard& shard,
                         const std::set<int>& done) {
   const std::vector<int> boxes = BoxesByShard(wave, shard.count);
-  const std::vector<int> shares = FirstShares(boxes, wave.most_at_once);
+  const std::vector<int> shares = FirstShares(boxes, wave.max_concurrent);
   const auto is_done = [&](int other) {
     return done.contains(other) || boxes[static_cast<std::size_t>(other)] == 0;
   };
@@ -70,12 +70,12 @@
     if (HoldsBox(shard, box))
       own.boxes.push_back(box);
   }
-  own.most_at_once = shares[static_cast<std::size_t>(shard.number)];
+  own.max_concurrent = shares[static_cast<std::size_t>(shard.number)];
   for (int back = 1; back < shard.count; ++back) {
     const int before = (shard.number - back + shard.count) % shard.count;
     if (!is_done(before))
       break;
-    own.most_at_once += shares[static_cast<std::size_t>(before)];
+    own.max_concurrent += shares[static_cast<std::size_t>(before)];
   }
   return own;
 }
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -25,7 +25,8 @@
 }
 
 scheduler::Wave WaveOf(int boxes, int most_at_once) {
-  scheduler::Wave wave{.number = 3, .boxes = {}, .most_at_once = most_at_once};
+  scheduler::Wave wave{
+      .number = 3, .boxes = {}, .max_concurrent = most_at_once};
   for (int i = 0; i < boxes; ++i)
     wave.boxes.push_back(BoxName(i));
   return wave;
@@ -100,10 +101,10 @@
         heard.insert(other);
     }
     const scheduler::Wave share = ShareOf(wave, shard, heard);
-    away += share.boxes.empty() ? 0 : share.most_at_once;
+    away += share.boxes.empty() ? 0 : share.max_concurrent;
     has_open_boxes = has_open_boxes || !share.boxes.empty();
     in_the_know +=
-        share.boxes.empty() ? 0 : ShareOf(wave, shard, done).most_at_once;
+        share.boxes.empty() ? 0 : ShareOf(wave, shard, done).max_concurrent;
   }
   RC_ASSERT(away <= most_at_once);
   RC_ASSERT(boxes == wave.boxes.size());
--- a/entry/suspension_test.cc
+++ b/entry/suspension_test.cc
@@ -63,7 +63,7 @@
       .epoch = 1};
   const auto order = [&](base::Micros sleep_before_it_leaves) {
     certain_until = base::MonotonicNow() + milliseconds(1150);
-    std::optional<scheduler::OrderOutcome> outcome;
+    std::optional<scheduler::CommandOutcome> outcome;
     workers.Start(
         to,
         {.worker = {.id = "w"},
@@ -77,11 +77,11 @@
     return *outcome;
   };
   for (const seconds sleep : kSleeps)
-    BOOST_CHECK(order(sleep) == scheduler::OrderOutcome::kNotSent);
+    BOOST_CHECK(order(sleep) == scheduler::CommandOutcome::kNotSent);
   BOOST_TEST(server.requests() == 0);
-  BOOST_CHECK(order({}) == scheduler::OrderOutcome::kDone);
+  BOOST_CHECK(order({}) == scheduler::CommandOutcome::kDone);
   for (const seconds sleep : kSleeps)
-    BOOST_CHECK(order(sleep) == scheduler::OrderOutcome::kNotSent);
+    BOOST_CHECK(order(sleep) == scheduler::CommandOutcome::kNotSent);
   BOOST_TEST(server.requests() == 1);
 }
 
--- a/entry/tables.cc
+++ b/entry/tables.cc
@@ -220,7 +220,7 @@
               {"born", move.life.born_ms},
               {"pool", move.pool}};
     }
-    Json operator()(const scheduler::UpkeepBox& upkeep) const {
+    Json operator()(const scheduler::MaintainBox& upkeep) const {
       return {{"box", upkeep.box},
               {"life", upkeep.life.id},
               {"born", upkeep.life.born_ms},
@@ -244,7 +244,7 @@
           .id = call.at("life").get<std::string>(),
           .born_ms = call.value("born", std::int64_t{0})};
       if (call.contains("wave")) {
-        record.calls.emplace_back(scheduler::UpkeepBox{
+        record.calls.emplace_back(scheduler::MaintainBox{
             .box = box, .wave = call["wave"].get<int>(), .life = life});
       } else {
         record.calls.emplace_back(
--- a/entry/wave_records_test.cc
+++ b/entry/wave_records_test.cc
@@ -21,7 +21,7 @@
 constexpr int kWave = 4;
 
 scheduler::Wave TenBoxes() {
-  scheduler::Wave wave{.number = kWave, .boxes = {}, .most_at_once = 4};
+  scheduler::Wave wave{.number = kWave, .boxes = {}, .max_concurrent = 4};
   for (int i = 0; i < 10; ++i)
     wave.boxes.push_back("box-" + std::to_string(i));
   return wave;
@@ -84,13 +84,14 @@
 // to be done leaves its share to the other.
 BOOST_AUTO_TEST_CASE(WaveIsCompletedWhenAllShardsAre) {
   TwoOwners bench;
-  BOOST_TEST(bench.first.share.most_at_once + bench.second.share.most_at_once ==
+  BOOST_TEST(bench.first.share.max_concurrent +
+                 bench.second.share.max_concurrent ==
              4);
   bench.first.Report(scheduler::WaveState::kRunning);
   bench.first.Report(scheduler::WaveState::kCompleted);
   BOOST_REQUIRE(bench.Within(kEnough, [&] {
     bench.Act();
-    return bench.second.share.most_at_once == 4;
+    return bench.second.share.max_concurrent == 4;
   }));
   BOOST_TEST(Has(Status(bench), "running"));
   bench.second.Report(scheduler::WaveState::kCompleted);
@@ -112,7 +113,7 @@
   later.Begin(bench.standin.Table(table));
   BOOST_TEST(later.begun_before == bench.second.share.boxes,
              boost::test_tools::per_element());
-  BOOST_TEST(later.share.most_at_once == 4);
+  BOOST_TEST(later.share.max_concurrent == 4);
 }
 
 }  // namespace
--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -26,7 +26,7 @@
 };
 
 // Asks which of these workers may run the step.
-struct AskAdvice {
+struct RequestAdvice {
   std::string job;
   int occurrence = 0;
   int step = 0;
@@ -40,7 +40,7 @@
 };
 
 // Lets a task work at this share of its speed.
-struct PaceRun {
+struct ThrottleRun {
   jobs::WorkerLife worker;
   jobs::TaskId task;
   int run = 0;
@@ -48,11 +48,11 @@
 };
 
 // Renews the worker's lease and asks for its listing.
-struct LookAt {
+struct PollWorker {
   jobs::WorkerLife worker;
   std::int64_t acknowledged = 0;  // it may forget ends up to this number
-  base::Micros wait{};            // for an end, before it answers
-  bool renews = true;             // grants a lease anew
+  base::Micros max_wait{};        // for an end, before it answers
+  bool renews_lease = true;       // grants a lease anew
 };
 
 // Records a job's progress, if its row still has `version`.
@@ -62,19 +62,19 @@
   std::uint64_t version = 0;
   std::uint64_t change = 0;  // returned with the outcome
   // Nothing of it runs or will: what its caller sent is not needed any more.
-  bool over = false;
+  bool is_over = false;
 };
 
 // A worker tells of a job that this owner does not know: it is to be read from
 // the store, and added, or said to be over.
-struct ReadJob {
+struct LoadJob {
   std::string job;
 };
 
 // What an owner knew of a box when it decided on a call, for the log.
-struct BoxEvidence {
-  base::Micros confirmed_ago{};  // the ownership, by the store
-  base::Micros heard_ago{};      // of the box's worker; negative: never
+struct BoxCallContext {
+  base::Micros confirmed_ago{};    // the ownership, by the store
+  base::Micros last_answer_ago{};  // of the box's worker; negative: never
   // Runs there were taken as over with their lease; nothing was heard since.
   bool runs_presumed_over = false;
 };
@@ -83,19 +83,19 @@
   std::string box;
   std::string pool;
   jobs::WorkerLife life;  // there when it was decided; empty: none
-  BoxEvidence evidence;
+  BoxCallContext evidence;
 };
 
-struct UpkeepBox {
+struct MaintainBox {
   std::string box;
   int wave = 0;
   jobs::WorkerLife life;  // as above
-  BoxEvidence evidence;
+  BoxCallContext evidence;
 };
 
 // A call for a box, recorded before it is made: the next owner makes it again
 // under its own epoch, so that the box refuses the earlier owner's.
-using BoxCall = std::variant<MoveBox, UpkeepBox>;
+using BoxCall = std::variant<MoveBox, MaintainBox>;
 
 // How far a wave is: recorded for a later owner and for the operators.
 struct ReportWave {
@@ -105,7 +105,7 @@
 };
 
 // For the log: why something was decided.
-struct Note {
+struct LogNote {
   std::string subject;  // a job, task, worker or box
   std::string text;
 };
@@ -122,25 +122,26 @@
 struct WorkerLost {
   jobs::WorkerLife worker;
   std::string box;
-  LossSign sign = LossSign::kSilence;
-  base::Micros heard_ago{};   // its last answer; negative: none
-  std::vector<LostRun> runs;  // the newest first
+  LossReason reason = LossReason::kLeaseExpired;
+  base::Micros last_answer_ago{};  // its last answer; negative: none
+  std::vector<LostRun> runs;       // the newest first
 };
 
 // For the log: a worker has started again under its id.
 struct WorkerRestarted {
   jobs::WorkerLife worker;
   std::int64_t earlier_born_ms = 0;
-  std::int64_t ends_read = 0;  // the highest number read from the earlier life
-  int moved_runs = 0;          // that the next life may have begun
+  std::int64_t last_end_sequence =
+      0;                     // the highest number read from the earlier life
+  int transferred_runs = 0;  // that the next life may have begun
 };
 
 // For the log: an end was passed over for its number, of a run that the owner
 // still counts on.
-struct EndSkipped {
+struct RunEndIgnored {
   jobs::WorkerLife worker;
-  ListedEnd end;
-  std::int64_t ends_read = 0;  // the highest number read before
+  ReportedEnd end;
+  std::int64_t last_end_sequence = 0;  // the highest number read before
 };
 
 // For the log: workers crashed under the task, and it is not started any more.
@@ -151,31 +152,31 @@
 };
 
 // For the log: a job is over, and where its time went.
-struct JobOver {
+struct JobFinished {
   std::string job;
   std::string queue;
   jobs::JobState state = jobs::JobState::kCompleted;
-  base::Micros took{};       // since it was accepted
+  base::Micros duration{};   // since it was accepted
   base::Micros objective{};  // within which it was to be completed
-  JobStory story;
+  JobStory timings;
 };
 
 using Action = std::variant<StartRun,
                             StopRun,
-                            PaceRun,
-                            LookAt,
+                            ThrottleRun,
+                            PollWorker,
                             SaveProgress,
-                            ReadJob,
-                            AskAdvice,
+                            LoadJob,
+                            RequestAdvice,
                             MoveBox,
-                            UpkeepBox,
+                            MaintainBox,
                             ReportWave,
-                            JobOver,
+                            JobFinished,
                             WorkerLost,
                             WorkerRestarted,
-                            EndSkipped,
+                            RunEndIgnored,
                             TaskGivenUp,
-                            Note>;
+                            LogNote>;
 
 }  // namespace quartzhoist::scheduler
 
--- a/scheduler/advice.cc
+++ b/scheduler/advice.cc
@@ -42,10 +42,10 @@
   const std::size_t most =
       std::min(kMostWorkers, 2 * runs.tasks.size() + kSpareWorkers);
   asked.resize(std::min(asked.size(), most));
-  AskAdvice ask{.job = job.id,
-                .occurrence = place.occurrence,
-                .step = place.step,
-                .workers = {}};
+  RequestAdvice ask{.job = job.id,
+                    .occurrence = place.occurrence,
+                    .step = place.step,
+                    .workers = {}};
   for (const Worker* worker : asked)
     ask.workers.push_back(worker->info.life);
   advice.in_flight = true;
@@ -54,7 +54,7 @@
   return false;
 }
 
-void Scheduler::Advised(const AskAdvice& asked,
+void Scheduler::Advised(const RequestAdvice& asked,
                         const std::optional<Advice>& answer,
                         base::Micros now) {
   Job* job = this->FindJob(asked.job);
@@ -70,7 +70,7 @@
   }
   advice.tickets = answer->tickets;
   // From when it was asked: the service may have decided at once.
-  advice.until = advice.asked + answer->valid;
+  advice.until = advice.asked + answer->valid_for;
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -19,7 +19,7 @@
 using testing::Only;
 using Bench = testing::SchedulerBench;
 
-Listing AtWork(const StartRun& start) {
+WorkerReport AtWork(const StartRun& start) {
   return {.clock_ms = 0,
           .running = {{.task = start.task,
                        .run = start.run,
@@ -47,7 +47,7 @@
       const std::vector<Action> actions = this->bench.Turn();
       this->bench.Save(Only<SaveProgress>(actions));
       for (const StartRun& start : Only<StartRun>(actions)) {
-        this->bench.scheduler.Started(start, OrderOutcome::kDone,
+        this->bench.scheduler.Started(start, CommandOutcome::kDone,
                                       this->bench.now);
         this->starts.push_back(start);
       }
@@ -130,9 +130,9 @@
   TwoLastingTasks two;
   for (int i = 0; i < 20; ++i) {
     two.bench.scheduler.LookFailed(two.bench.LifeOf("a"),
-                                   OrderOutcome::kUnknown, two.bench.now);
+                                   CommandOutcome::kUnknown, two.bench.now);
     two.bench.scheduler.LookFailed(two.bench.LifeOf("b"),
-                                   OrderOutcome::kUnknown, two.bench.now);
+                                   CommandOutcome::kUnknown, two.bench.now);
     if (i == 15)
       two.SetOtherPoolShort();
     BOOST_TEST(two.MovedAfter(milliseconds(300)).empty());
@@ -159,12 +159,12 @@
   const StartRun start = two.bench.NextStart();
   const jobs::WorkerLife silent = start.worker;
   BOOST_REQUIRE((silent.id == "x" || silent.id == "y"));
-  two.bench.scheduler.Started(start, OrderOutcome::kDone, two.bench.now);
+  two.bench.scheduler.Started(start, CommandOutcome::kDone, two.bench.now);
   two.bench.scheduler.CancelJob("cancelled", two.bench.now);
   two.SetOtherPoolShort();
   for (int i = 0; i < 30; ++i) {
     two.ListBoth();
-    two.bench.scheduler.LookFailed(silent, OrderOutcome::kUnknown,
+    two.bench.scheduler.LookFailed(silent, CommandOutcome::kUnknown,
                                    two.bench.now);
     two.Confirm();
     BOOST_TEST(!Holds(two.MovedAfter(milliseconds(300)), "box-" + silent.id));
--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -50,15 +50,15 @@
   bench.List("w", {});
   bench.AddJob("first");
   const StartRun first = bench.NextStart();
-  bench.scheduler.Started(first, OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(first, CommandOutcome::kDone, bench.now);
   bench.scheduler.PutWorker(WithCores("w", 500), bench.now);
   bench.AddJob("second");
-  const Listing running{.clock_ms = 0,
-                        .running = {{.task = first.task,
-                                     .run = first.run,
-                                     .checkpoint = "",
-                                     .percent = 50}},
-                        .ended = {}};
+  const WorkerReport running{.clock_ms = 0,
+                             .running = {{.task = first.task,
+                                          .run = first.run,
+                                          .checkpoint = "",
+                                          .percent = 50}},
+                             .ended = {}};
   bench.List("w", running);
   for (int turn = 0; turn < 5; ++turn) {
     const std::vector<Action> actions = bench.Turn();
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -65,16 +65,17 @@
 std::map<jobs::TaskId, jobs::WorkerLoss> Scheduler::LossesUnder(
     const Worker& worker,
     const std::map<jobs::TaskId, Run>& runs,
-    LossSign sign) {
+    LossReason sign) {
   std::map<jobs::TaskId, jobs::WorkerLoss> losses;
-  const bool was_planned = sign == LossSign::kBoxTaken ||
-                           sign == LossSign::kLeft || worker.info.draining;
+  const bool was_planned = sign == LossReason::kBoxReclaimed ||
+                           sign == LossReason::kDeregistered ||
+                           worker.info.draining;
   if (was_planned)
     return losses;
   // Another life at its address after it had withdrawn itself is no crash.
-  const bool has_crashed =
-      (sign == LossSign::kOtherLife || sign == LossSign::kRestarted) &&
-      !worker.has_withdrawn();
+  const bool has_crashed = (sign == LossReason::kOtherIncarnation ||
+                            sign == LossReason::kRestarted) &&
+                           !worker.has_withdrawn();
   const bool leaves_doubt = HasOtherSuspects(runs);
   for (const auto& [id, run] : runs) {
     const Job* job = this->FindJob(id.job);
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -44,7 +44,7 @@
 }  // namespace
 
 void Scheduler::TakeEnd(Worker& worker,
-                        const ListedEnd& end,
+                        const ReportedEnd& end,
                         base::Micros now) {
   // 1. The run's room is free.
   const auto run = worker.runs.find(end.task);
@@ -58,7 +58,8 @@
       JobStory& story = job->story;
       story.longest_run = std::max(story.longest_run, now - ended.since);
     }
-    if (job && end.how == RunEnd::kDone && !ended.adopted && !ended.lasting) {
+    if (job && end.reason == RunEndReason::kSucceeded && !ended.adopted &&
+        !ended.lasting) {
       const jobs::Step& step = StepOf(*job, PlaceOf(end.task));
       this->run_times.Learn(step.image.empty() ? job->queue.name : step.image,
                             now - ended.since);
@@ -75,12 +76,12 @@
   this->TakeFate(*job, worker.info.life, end, now);
   // 3. It is acknowledged once the job's row holds it.
   worker.pending_ends.push_back(
-      {.number = end.number, .job = job->id, .change = job->change});
+      {.number = end.sequence, .job = job->id, .change = job->change});
 }
 
 void Scheduler::TakeFate(Job& job,
                          const jobs::WorkerLife& worker,
-                         const ListedEnd& end,
+                         const ReportedEnd& end,
                          base::Micros now) {
   const TaskPlace place = PlaceOf(end.task);
   job.begun = true;
@@ -88,8 +89,8 @@
   if (!end.checkpoint.empty())
     task.checkpoint = end.checkpoint;
   const bool lasting = StepOf(job, place).lasting;
-  const bool done = end.how == RunEnd::kDone && !lasting;
-  const bool failed = end.how == RunEnd::kFailed;
+  const bool done = end.reason == RunEndReason::kSucceeded && !lasting;
+  const bool failed = end.reason == RunEndReason::kFailed;
   if (done)
     this->TaskDone(job, place, now);
   else if (failed && !lasting)
@@ -157,9 +158,9 @@
   this->Changed(job);
   const int count = job.progress.FailuresOf(key);
   this->actions.emplace_back(
-      Note{job.id, fmt::format("task {}.{}.{} run {} failed on {}, {} of {}",
-                               place.occurrence, place.step, place.index, run,
-                               worker.id, count, job.queue.attempts)});
+      LogNote{job.id, fmt::format("task {}.{}.{} run {} failed on {}, {} of {}",
+                                  place.occurrence, place.step, place.index,
+                                  run, worker.id, count, job.queue.attempts)});
   if (count >= job.queue.attempts) {
     task.state = TaskState::kFailed;
     this->Finish(job, jobs::JobState::kFailed, now);
@@ -220,11 +221,11 @@
   if (!failed || worker.failure_rate < kFailureLimit)
     return;
   worker.quarantined_until = now + kQuarantine;
-  this->actions.emplace_back(
-      Note{worker.info.life.id,
-           fmt::format("fails {:.0f}% of its runs: nothing is "
-                       "placed for {:.0f} s",
-                       worker.failure_rate * 100, base::Seconds(kQuarantine))});
+  this->actions.emplace_back(LogNote{
+      worker.info.life.id,
+      fmt::format("fails {:.0f}% of its runs: nothing is "
+                  "placed for {:.0f} s",
+                  worker.failure_rate * 100, base::Seconds(kQuarantine))});
   worker.failure_rate = kFailureAfterQuarantine;
 }
 
@@ -281,7 +282,7 @@
     return;
   ++task.moved;
   RememberFailure(task, worker.info.life);
-  this->actions.emplace_back(Note{
+  this->actions.emplace_back(LogNote{
       id.job,
       fmt::format("task {}.{}.{} {} on {}: it starts elsewhere", id.occurrence,
                   id.step, id.index, why, worker.info.life.id)});
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -193,7 +193,7 @@
     this->BoxTaken(order.box, now);
 }
 
-void Scheduler::UpkeepBegun(const UpkeepBox& order,
+void Scheduler::UpkeepBegun(const MaintainBox& order,
                             BoxCallOutcome outcome,
                             base::Micros now) {
   this->fleet.UpkeepBegun(order, outcome, now);
@@ -207,7 +207,7 @@
 void Scheduler::BoxTaken(const std::string& box, base::Micros now) {
   const jobs::WorkerLife life = this->fleet.LifeBefore(box);
   if (!life.empty())
-    this->LifeIsOver(life, LossSign::kBoxTaken, now);
+    this->LifeIsOver(life, LossReason::kBoxReclaimed, now);
 }
 
 // A lasting task may be interrupted while every other one of its step is at
@@ -276,15 +276,15 @@
   }
 }
 
-BoxEvidence Scheduler::EvidenceOf(const std::string& box,
-                                  base::Micros now) const {
-  BoxEvidence evidence{.confirmed_ago = now - this->confirmed,
-                       .heard_ago = base::Micros(-1)};
+BoxCallContext Scheduler::EvidenceOf(const std::string& box,
+                                     base::Micros now) const {
+  BoxCallContext evidence{.confirmed_ago = now - this->confirmed,
+                          .last_answer_ago = base::Micros(-1)};
   for (const auto& [id, worker] : this->workers) {
     if (worker.info.box != box)
       continue;
     if (worker.listed)
-      evidence.heard_ago = now - worker.last_answer;
+      evidence.last_answer_ago = now - worker.last_answer;
     evidence.runs_presumed_over = worker.runs_presumed_over;
   }
   return evidence;
@@ -300,7 +300,7 @@
     } else if (auto* move = std::get_if<MoveBox>(&step)) {
       move->evidence = this->EvidenceOf(move->box, now);
       this->actions.emplace_back(std::move(*move));
-    } else if (auto* upkeep = std::get_if<UpkeepBox>(&step)) {
+    } else if (auto* upkeep = std::get_if<MaintainBox>(&step)) {
       upkeep->evidence = this->EvidenceOf(upkeep->box, now);
       this->actions.emplace_back(std::move(*upkeep));
     } else if (const auto* report = std::get_if<ReportWave>(&step)) {
--- a/scheduler/facts.h
+++ b/scheduler/facts.h
@@ -29,7 +29,7 @@
 };
 
 // A box as the platform lists it.
-enum class BoxState { kUp, kMoving, kUpkeep, kDown };
+enum class BoxState { kUp, kMoving, kMaintenance, kDown };
 
 struct BoxInfo {
   std::string name;
@@ -40,36 +40,43 @@
 };
 
 // By what it is known that nothing of a worker's life runs any more.
-enum class LossSign {
-  kSilence,    // it did not answer until its lease was over
-  kOtherLife,  // another life answers at its address
-  kRestarted,  // a later life of it answers or announces itself
-  kBoxTaken,   // its box was moved or went into its upkeep
-  kLeft,       // it had said that it leaves, or withdrawn its announcement
+enum class LossReason {
+  kLeaseExpired,      // it did not answer until its lease was over
+  kOtherIncarnation,  // another life answers at its address
+  kRestarted,         // a later life of it answers or announces itself
+  kBoxReclaimed,      // its box was moved or went into its upkeep
+  kDeregistered,  // it had said that it leaves, or withdrawn its announcement
 };
 
-inline constexpr base::EnumNames<LossSign, 5> kLossSignNames{{
-    {LossSign::kSilence, "silence"},
-    {LossSign::kOtherLife, "other_life"},
-    {LossSign::kRestarted, "restarted"},
-    {LossSign::kBoxTaken, "box_taken"},
-    {LossSign::kLeft, "left"},
+inline constexpr base::EnumNames<LossReason, 5> kLossReasonNames{{
+    {LossReason::kLeaseExpired, "silence"},
+    {LossReason::kOtherIncarnation, "other_life"},
+    {LossReason::kRestarted, "restarted"},
+    {LossReason::kBoxReclaimed, "box_taken"},
+    {LossReason::kDeregistered, "left"},
 }};
 
 // Why a run ended.
-enum class RunEnd { kDone, kFailed, kStopped, kLapsed, kBroken, kAlone };
-
-inline constexpr base::EnumNames<RunEnd, 6> kRunEndNames{{
-    {RunEnd::kDone, "done"},
-    {RunEnd::kFailed, "failed"},
-    {RunEnd::kStopped, "stopped"},
-    {RunEnd::kLapsed, "lapsed"},
-    {RunEnd::kBroken, "broken"},
-    {RunEnd::kAlone, "alone"},
+enum class RunEndReason {
+  kSucceeded,
+  kFailed,
+  kStopped,
+  kLeaseExpired,
+  kBroken,
+  kAlone
+};
+
+inline constexpr base::EnumNames<RunEndReason, 6> kRunEndReasonNames{{
+    {RunEndReason::kSucceeded, "done"},
+    {RunEndReason::kFailed, "failed"},
+    {RunEndReason::kStopped, "stopped"},
+    {RunEndReason::kLeaseExpired, "lapsed"},
+    {RunEndReason::kBroken, "broken"},
+    {RunEndReason::kAlone, "alone"},
 }};
 
 // A run that a worker says it has.
-struct ListedRun {
+struct ReportedRun {
   jobs::TaskId task;
   int run = 0;
   std::string checkpoint;  // the newest; empty: none
@@ -79,53 +86,53 @@
   std::int64_t load = -1;
 };
 
-struct ListedEnd {
-  std::int64_t number = 0;  // rises from 1 in each life of a worker
+struct ReportedEnd {
+  std::int64_t sequence = 0;  // rises from 1 in each life of a worker
   jobs::TaskId task;
   int run = 0;
-  RunEnd how = RunEnd::kFailed;
+  RunEndReason reason = RunEndReason::kFailed;
   std::string checkpoint;
 };
 
 // A worker's account of itself.
-struct Listing {
+struct WorkerReport {
   jobs::WorkerLife life;      // that answered
   std::int64_t clock_ms = 0;  // the worker's own clock
-  std::vector<ListedRun> running;
-  std::vector<ListedEnd> ended;
+  std::vector<ReportedRun> running;
+  std::vector<ReportedEnd> ended;
 };
 
 // How an order to a worker was answered.
-enum class OrderOutcome {
+enum class CommandOutcome {
   kDone,
-  kNotSent,  // no byte left; it was not and will not be carried out
-  kUnknown,  // no answer: it may have been, or may yet be, carried out
-  kFenced,   // a higher epoch has been seen there
-  kOld,      // this run, or a later one, has ended there
-  kLate,     // its lease was over when it came
-  kNoRoom,
-  kNoTicket,   // the advice does not cover it
-  kBusy,       // the worker is unhealthy; nothing was done
-  kOtherLife,  // another life answers at this address
+  kNotSent,       // no byte left; it was not and will not be carried out
+  kUnknown,       // no answer: it may have been, or may yet be, carried out
+  kFenced,        // a higher epoch has been seen there
+  kSuperseded,    // this run, or a later one, has ended there
+  kLeaseExpired,  // its lease was over when it came
+  kNoCapacity,
+  kNoTicket,          // the advice does not cover it
+  kBusy,              // the worker is unhealthy; nothing was done
+  kOtherIncarnation,  // another life answers at this address
 };
 
-inline constexpr base::EnumNames<OrderOutcome, 10> kOrderOutcomeNames{{
-    {OrderOutcome::kDone, "done"},
-    {OrderOutcome::kNotSent, "not_sent"},
-    {OrderOutcome::kUnknown, "unknown"},
-    {OrderOutcome::kFenced, "fenced"},
-    {OrderOutcome::kOld, "old"},
-    {OrderOutcome::kLate, "late"},
-    {OrderOutcome::kNoRoom, "no_room"},
-    {OrderOutcome::kNoTicket, "no_ticket"},
-    {OrderOutcome::kBusy, "busy"},
-    {OrderOutcome::kOtherLife, "other_life"},
+inline constexpr base::EnumNames<CommandOutcome, 10> kCommandOutcomeNames{{
+    {CommandOutcome::kDone, "done"},
+    {CommandOutcome::kNotSent, "not_sent"},
+    {CommandOutcome::kUnknown, "unknown"},
+    {CommandOutcome::kFenced, "fenced"},
+    {CommandOutcome::kSuperseded, "old"},
+    {CommandOutcome::kLeaseExpired, "late"},
+    {CommandOutcome::kNoCapacity, "no_room"},
+    {CommandOutcome::kNoTicket, "no_ticket"},
+    {CommandOutcome::kBusy, "busy"},
+    {CommandOutcome::kOtherIncarnation, "other_life"},
 }};
 
 // Which workers may run a step, each with the ticket that proves it.
 struct Advice {
   std::map<jobs::WorkerLife, std::string> tickets;
-  base::Micros valid{};  // from when it was asked
+  base::Micros valid_for{};  // from when it was asked
 };
 
 // A wave: these boxes get their upkeep, at most so many at a time.
@@ -133,7 +140,7 @@
   int number = 0;
   std::vector<std::string> boxes;
   base::Micros duration{};
-  int most_at_once = 1;
+  int max_concurrent = 1;
 };
 
 enum class WaveState { kRunning, kCompleted };
--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -36,7 +36,7 @@
 }
 
 // Counted as away from here on: the earlier owner's call may be on its way.
-void Fleet::Inherit(const UpkeepBox& call, base::Micros now) {
+void Fleet::Inherit(const MaintainBox& call, base::Micros now) {
   WaveProgress& progress = this->waves[call.wave];
   progress.wave.number = call.wave;
   progress.boxes[call.box] = {.state = UpkeepState::kCalling,
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -105,7 +105,7 @@
   std::string box;
 };
 
-using FleetStep = std::variant<MoveBox, UpkeepBox, ReportWave, Evacuate>;
+using FleetStep = std::variant<MoveBox, MaintainBox, ReportWave, Evacuate>;
 
 // How many cores each pool should have: the boxes its lasting tasks need, then
 // urgent work first, what is there before what is expected; where not all fits,
@@ -125,7 +125,7 @@
   // A call that an earlier owner recorded: it may have been, or may yet be,
   // carried out.
   void Inherit(const MoveBox& call, base::Micros now);
-  void Inherit(const UpkeepBox& call, base::Micros now);
+  void Inherit(const MaintainBox& call, base::Micros now);
   // A life of the box announces itself, in this pool.
   void BoxSeen(const std::string& box,
                const jobs::WorkerLife& worker,
@@ -138,7 +138,7 @@
                 base::Micros asked,
                 base::Micros now);
   void Moved(const MoveBox& order, BoxCallOutcome outcome, base::Micros now);
-  void UpkeepBegun(const UpkeepBox& order,
+  void UpkeepBegun(const MaintainBox& order,
                    BoxCallOutcome outcome,
                    base::Micros now);
 
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -136,8 +136,10 @@
 RC_BOOST_PROP(WaveKeepsToItsLimitAndForgetsNoBox, ()) {
   const int count = *rc::gen::inRange(1, 12);
   const int most = *rc::gen::inRange(1, 5);
-  Wave wave{
-      .number = 3, .boxes = {}, .duration = seconds(60), .most_at_once = most};
+  Wave wave{.number = 3,
+            .boxes = {},
+            .duration = seconds(60),
+            .max_concurrent = most};
   std::map<std::string, FleetBox> boxes;
   for (int i = 0; i < count; ++i) {
     const std::string name = "b" + std::to_string(i);
@@ -172,7 +174,7 @@
       view.boxes.push_back(box);
     view.pools = {{.name = "pool", .spare = false, .needs = {}}};
     for (const FleetStep& step : fleet.Plan(view, now)) {
-      if (const auto* upkeep = std::get_if<UpkeepBox>(&step)) {
+      if (const auto* upkeep = std::get_if<MaintainBox>(&step)) {
         // 0: not carried out, no answer; 1: carried out, no answer; 2 and 3:
         // refused; else as asked.
         const auto kind = random() % 6;
@@ -198,11 +200,12 @@
     if (turn % 8 == 0) {
       std::vector<BoxInfo> listed;
       for (const auto& [name, box] : boxes) {
-        listed.push_back({.name = name,
-                          .pool = "pool",
-                          .state = box.up ? BoxState::kUp : BoxState::kUpkeep,
-                          .worker = box.worker.id,
-                          .cores = 16.0});
+        listed.push_back(
+            {.name = name,
+             .pool = "pool",
+             .state = box.up ? BoxState::kUp : BoxState::kMaintenance,
+             .worker = box.worker.id,
+             .cores = 16.0});
       }
       fleet.SetBoxes(listed, now, now);
     }
@@ -228,19 +231,19 @@
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
                  .duration = seconds(60),
-                 .most_at_once = 1},
+                 .max_concurrent = 1},
                 {}, now);
-  const auto first = Only<UpkeepBox>(fleet.Plan(view, now));
+  const auto first = Only<MaintainBox>(fleet.Plan(view, now));
   BOOST_REQUIRE(first.size() == 1U);
   const base::Micros asked = now;
   now += milliseconds(100);
   fleet.UpkeepBegun(first[0], BoxCallOutcome::kDone, now);
   now += seconds(3);
   fleet.SetBoxes(listed, asked, now);
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).empty());
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).empty());
   // One that is asked for now does.
   fleet.SetBoxes(listed, now, now);
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).size() == 1U);
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).size() == 1U);
 }
 
 // An earlier owner's call for a box may be on its way: the box counts as away
@@ -251,7 +254,7 @@
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
                  .pools = {{.name = "pool", .spare = false, .needs = {}}}};
   const base::Micros now = seconds(10);
-  fleet.Inherit(UpkeepBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
+  fleet.Inherit(MaintainBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
                 now);
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .cores = 16.0},
                   {.name = "b2", .pool = "pool", .cores = 16.0}},
@@ -259,13 +262,14 @@
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
                  .duration = seconds(60),
-                 .most_at_once = 1},
+                 .max_concurrent = 1},
                 {}, now);
   BOOST_TEST(fleet.IsLeaving("b1"));
   view.boxes[0].up = false;  // not heard yet
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, now)).empty());
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).empty());
   view.boxes[0].up = true;
-  const auto made = Only<UpkeepBox>(fleet.Plan(view, now + milliseconds(250)));
+  const auto made =
+      Only<MaintainBox>(fleet.Plan(view, now + milliseconds(250)));
   BOOST_REQUIRE(made.size() == 1U);
   BOOST_TEST(made[0].box == "b1");
   BOOST_TEST(made[0].life.id == "b1-life");
@@ -282,7 +286,7 @@
     box.idle = false;
     box.lasting = 1;
   }
-  fleet.Inherit(UpkeepBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
+  fleet.Inherit(MaintainBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
                 now);
   fleet.Inherit(
       MoveBox{.box = "b2", .pool = "other", .life = {.id = "b2-life"}}, now);
@@ -292,10 +296,10 @@
   fleet.SetWave({.number = 1,
                  .boxes = {"b1"},
                  .duration = seconds(60),
-                 .most_at_once = 1},
+                 .max_concurrent = 1},
                 {}, now);
   const auto steps = fleet.Plan(view, now);
-  BOOST_TEST(Only<UpkeepBox>(steps).empty());
+  BOOST_TEST(Only<MaintainBox>(steps).empty());
   BOOST_TEST(Only<MoveBox>(steps).empty());
   BOOST_TEST(Only<Evacuate>(steps).size() == 1U);
   BOOST_TEST(!fleet.HasOpenCall("b1"));
@@ -309,21 +313,21 @@
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
                   .duration = seconds(60),
-                  .most_at_once = 1};
+                  .max_concurrent = 1};
   fleet.SetWave(wave, {}, seconds(1));
   fleet.SetBoxes(
       {{.name = "b1", .pool = "pool"}, {.name = "b2", .pool = "pool"}},
       seconds(1), seconds(1));
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
                  .pools = {{.name = "pool"}}};
-  const auto first = Only<UpkeepBox>(fleet.Plan(view, seconds(1)));
+  const auto first = Only<MaintainBox>(fleet.Plan(view, seconds(1)));
   BOOST_REQUIRE(first.size() == 1U);
   fleet.UpkeepBegun(first[0], BoxCallOutcome::kDone, milliseconds(1020));
   fleet.BoxSeen(first[0].box, {.id = "crashed-and-back"}, "pool",
                 milliseconds(1400));
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, milliseconds(1500))).empty());
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, milliseconds(1500))).empty());
   fleet.BoxSeen(first[0].box, {.id = "maintained"}, "pool", milliseconds(3100));
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, milliseconds(3200))).size() ==
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, milliseconds(3200))).size() ==
              1U);
 }
 
@@ -350,7 +354,7 @@
 BOOST_AUTO_TEST_CASE(BoxesOfLastingTasksBeginWithTheFirst) {
   Fleet fleet(kLimits);
   Wave wave{
-      .number = 1, .boxes = {}, .duration = seconds(25), .most_at_once = 16};
+      .number = 1, .boxes = {}, .duration = seconds(25), .max_concurrent = 16};
   FleetView view;
   view.pools = {{.name = "pool", .spare = false, .needs = {}}};
   std::vector<BoxInfo> listed;
@@ -366,7 +370,7 @@
   fleet.SetBoxes(listed, seconds(1), seconds(1));
   const std::vector<FleetStep> steps = fleet.Plan(view, seconds(1));
   BOOST_TEST(Only<Evacuate>(steps).size() == 2U);
-  BOOST_TEST(Only<UpkeepBox>(steps).size() == 14U);
+  BOOST_TEST(Only<MaintainBox>(steps).size() == 14U);
   // No further one before they are through.
   BOOST_TEST(Only<Evacuate>(fleet.Plan(view, seconds(2))).size() == 2U);
 }
@@ -376,17 +380,17 @@
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
                  .duration = seconds(20),
-                 .most_at_once = 1},
+                 .max_concurrent = 1},
                 {"b1"}, seconds(1));
   FleetView view;
   view.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")};
   view.pools = {{.name = "pool", .spare = false, .needs = {}}};
   // b1 may still be down: nothing else begins before the list shows it up.
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(2))).empty());
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(2))).empty());
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .worker = "b1-life"},
                   {.name = "b2", .pool = "pool", .worker = "b2-life"}},
                  seconds(4), seconds(4));
-  const auto begun = Only<UpkeepBox>(fleet.Plan(view, seconds(4)));
+  const auto begun = Only<MaintainBox>(fleet.Plan(view, seconds(4)));
   BOOST_REQUIRE(begun.size() == 1);
   BOOST_TEST(begun[0].box == "b2");
 }
@@ -396,21 +400,22 @@
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
                  .duration = seconds(20),
-                 .most_at_once = 1},
+                 .max_concurrent = 1},
                 {}, seconds(1));
   FleetView view;
   view.boxes = {IdleBox("b2", "pool")};
   view.pools = {{.name = "pool", .spare = false, .needs = {}}};
   // Nothing is begun before the list has been read.
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(2))).empty());
-  fleet.SetBoxes({{.name = "b1", .pool = "pool", .state = BoxState::kUpkeep},
-                  {.name = "b2", .pool = "pool", .worker = "b2-life"}},
-                 seconds(2), seconds(2));
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(3))).empty());
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(2))).empty());
+  fleet.SetBoxes(
+      {{.name = "b1", .pool = "pool", .state = BoxState::kMaintenance},
+       {.name = "b2", .pool = "pool", .worker = "b2-life"}},
+      seconds(2), seconds(2));
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(3))).empty());
   fleet.SetBoxes({{.name = "b1", .pool = "pool"},
                   {.name = "b2", .pool = "pool", .worker = "b2-life"}},
                  seconds(6), seconds(6));
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(6))).size() == 1U);
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(6))).size() == 1U);
 }
 
 // Two waves cover one box: its upkeep for the one, as the list shows it, then
@@ -421,17 +426,17 @@
     return Wave{.number = number,
                 .boxes = {"b1"},
                 .duration = seconds(20),
-                .most_at_once = 1};
+                .max_concurrent = 1};
   };
   const BoxInfo up{.name = "b1", .pool = "pool", .worker = "b1-life"};
   BoxInfo down = up;
-  down.state = BoxState::kUpkeep;
+  down.state = BoxState::kMaintenance;
   FleetView view;
   view.boxes = {IdleBox("b1", "pool")};
   view.pools = {{.name = "pool", .spare = false, .needs = {}}};
   fleet.SetWave(wave(1), {}, seconds(1));
   fleet.SetBoxes({up}, seconds(1), seconds(1));
-  BOOST_TEST(Only<UpkeepBox>(fleet.Plan(view, seconds(1))).size() == 1U);
+  BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(1))).size() == 1U);
   fleet.UpkeepBegun({.box = "b1", .wave = 1}, BoxCallOutcome::kDone,
                     seconds(1));
   fleet.SetWave(wave(2), {}, seconds(2));
@@ -444,7 +449,7 @@
   const std::vector<FleetStep> steps = fleet.Plan(view, seconds(6));
   for (const ReportWave& report : Only<ReportWave>(steps))
     BOOST_TEST((report.wave == 1 || report.state == WaveState::kRunning));
-  const auto second = Only<UpkeepBox>(steps);
+  const auto second = Only<MaintainBox>(steps);
   BOOST_REQUIRE(second.size() == 1);
   BOOST_TEST(second[0].wave == 2);
 }
@@ -455,7 +460,7 @@
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
                   .duration = seconds(20),
-                  .most_at_once = 2};
+                  .max_concurrent = 2};
   fleet.SetWave(wave, {"b1", "b2"}, seconds(10));
   BOOST_TEST(fleet.IsLeaving("b1"));
   fleet.BoxAnswered("b1");
@@ -468,7 +473,7 @@
   fleet.SetWave({.number = 1,
                  .boxes = {"gone"},
                  .duration = seconds(20),
-                 .most_at_once = 1},
+                 .max_concurrent = 1},
                 {}, seconds(1));
   fleet.SetBoxes({}, seconds(2), seconds(2));
   const auto reports = Only<ReportWave>(fleet.Plan({}, seconds(3)));
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -75,7 +75,7 @@
                              upkeep.state == UpkeepState::kEmptying ||
                              upkeep.is_inherited;
       const bool begun =
-          !gone && found->second.state == BoxState::kUpkeep && may_begin;
+          !gone && found->second.state == BoxState::kMaintenance && may_begin;
       if (begun && !this->InUpkeepOfAnother(number, name, asked)) {
         upkeep.state = UpkeepState::kDown;
         upkeep.is_inherited = false;
@@ -105,7 +105,7 @@
       });
 }
 
-void Fleet::UpkeepBegun(const UpkeepBox& order,
+void Fleet::UpkeepBegun(const MaintainBox& order,
                         BoxCallOutcome outcome,
                         base::Micros now) {
   const auto wave = this->waves.find(order.wave);
@@ -217,9 +217,9 @@
     upkeep.since = now;
     ++turn.away;
   };
-  const int pinned_share = wave.most_at_once / kPinnedShare;
+  const int pinned_share = wave.max_concurrent / kPinnedShare;
   for (const auto& [box, upkeep] : turn.pending) {
-    if (turn.away >= wave.most_at_once || turn.pinned_away >= pinned_share)
+    if (turn.away >= wave.max_concurrent || turn.pinned_away >= pinned_share)
       break;
     if (box->lasting == 0)
       continue;
@@ -227,7 +227,7 @@
     ++turn.pinned_away;
   }
   for (const auto& [box, upkeep] : turn.pending) {
-    if (turn.away >= wave.most_at_once)
+    if (turn.away >= wave.max_concurrent)
       break;
     if (upkeep->state == UpkeepState::kPending)
       take(*upkeep);
@@ -268,9 +268,9 @@
       }
       upkeep.state = UpkeepState::kCalling;
       upkeep.in_flight = true;
-      steps.emplace_back(UpkeepBox{.box = name,
-                                   .wave = progress.wave.number,
-                                   .life = upkeep.worker_before});
+      steps.emplace_back(MaintainBox{.box = name,
+                                     .wave = progress.wave.number,
+                                     .life = upkeep.worker_before});
     } else if (upkeep.state == UpkeepState::kEmptying) {
       steps.emplace_back(Evacuate{.box = name});
     }
--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -42,7 +42,7 @@
   for (const int index : {0, 1}) {
     StartRun start = first;
     start.task.index = index;
-    bench.scheduler.Started(start, OrderOutcome::kDone, bench.now);
+    bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
   }
   bench.List("w",
              {.clock_ms = 0,
@@ -50,10 +50,10 @@
                            .run = first.run,
                            .checkpoint = "",
                            .percent = 10}},
-              .ended = {{.number = 1,
+              .ended = {{.sequence = 1,
                          .task = FirstTask("job"),
                          .run = first.run,
-                         .how = RunEnd::kFailed,
+                         .reason = RunEndReason::kFailed,
                          .checkpoint = ""}}},
              bench.now + seconds(4));
   const std::vector<Action> actions = bench.Turn();
@@ -73,7 +73,7 @@
   bench.List("w", {});
   bench.AddJob("job", Bench::OneLastingTask());
   const StartRun start = bench.NextStart();
-  bench.scheduler.Started(start, OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
   bench.scheduler.CancelJob("job", bench.now);
   BOOST_TEST(Only<StopRun>(bench.scheduler.TakeActions()).size() == 1U);
 }
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -39,7 +39,7 @@
 }  // namespace
 
 void Scheduler::Listed(const jobs::WorkerLife& asked,
-                       const Listing& listing,
+                       const WorkerReport& listing,
                        base::Micros now) {
   Worker* answered = this->LifeThatAnswered(asked, listing.life, now);
   if (!answered)
@@ -51,7 +51,7 @@
   worker.told = std::max(worker.told, worker.look_acknowledged);
   worker.is_in_doubt = false;
   if (worker.failed_calls > 0)
-    this->actions.emplace_back(Note{worker.info.life.id, "answers again"});
+    this->actions.emplace_back(LogNote{worker.info.life.id, "answers again"});
   if (!worker.listed) {
     ++this->worker_change_count;
     this->fleet.BoxAnswered(worker.info.box);
@@ -71,17 +71,17 @@
   this->SettleLosses(worker, now);
   // 2. Ends before runs: a task that ended may be listed as running again.
   bool has_news = false;
-  for (const ListedEnd& end : listing.ended) {
-    if (end.number <= worker.processed) {
+  for (const ReportedEnd& end : listing.ended) {
+    if (end.sequence <= worker.processed) {
       this->NoteSkippedEnd(worker, end);
       continue;
     }
     this->TakeEnd(worker, end, now);
-    worker.processed = end.number;
+    worker.processed = end.sequence;
     has_news = true;
   }
   // 3. What runs there.
-  for (const ListedRun& run : listing.running)
+  for (const ReportedRun& run : listing.running)
     this->TakeRunning(worker, run, now);
   // 4. What should, and is not listed.
   this->SettleMissing(worker, listing, now);
@@ -93,16 +93,18 @@
   worker.next_look = has_news || repeats ? now + kPauseAfterEnds : now;
 }
 
-void Scheduler::NoteSkippedEnd(const Worker& worker, const ListedEnd& end) {
+void Scheduler::NoteSkippedEnd(const Worker& worker, const ReportedEnd& end) {
   const auto run = worker.runs.find(end.task);
   if (run == worker.runs.end() || run->second.number != end.run)
     return;
-  this->actions.emplace_back(EndSkipped{
-      .worker = worker.info.life, .end = end, .ends_read = worker.processed});
+  this->actions.emplace_back(
+      RunEndIgnored{.worker = worker.info.life,
+                    .end = end,
+                    .last_end_sequence = worker.processed});
 }
 
 void Scheduler::TakeRunning(Worker& worker,
-                            const ListedRun& listed,
+                            const ReportedRun& listed,
                             base::Micros now) {
   const auto found = worker.runs.find(listed.task);
   if (found == worker.runs.end() || found->second.number != listed.run) {
@@ -146,7 +148,7 @@
 // A run that this owner did not start: an earlier owner's, or an order that was
 // given up and carried out late.
 void Scheduler::AdoptRun(Worker& worker,
-                         const ListedRun& listed,
+                         const ReportedRun& listed,
                          base::Micros now) {
   Job* job = this->FindJob(listed.task.job);
   Run run{.number = listed.run, .state = RunState::kRunning};
@@ -212,18 +214,18 @@
       return;
   }
   this->actions.emplace_back(
-      Note{listed.task.job,
-           fmt::format("run {} of {}.{}.{} on {} is not wanted: stopped",
-                       listed.run, listed.task.occurrence, listed.task.step,
-                       listed.task.index, worker.info.life.id)});
+      LogNote{listed.task.job,
+              fmt::format("run {} of {}.{}.{} on {} is not wanted: stopped",
+                          listed.run, listed.task.occurrence, listed.task.step,
+                          listed.task.index, worker.info.life.id)});
   this->Stop(worker, listed.task, now);
 }
 
 void Scheduler::SettleMissing(Worker& worker,
-                              const Listing& listing,
+                              const WorkerReport& listing,
                               base::Micros now) {
   std::set<jobs::TaskId> listed;
-  for (const ListedRun& run : listing.running)
+  for (const ReportedRun& run : listing.running)
     listed.insert(run.task);
   std::vector<std::pair<jobs::TaskId, Run>> over;
   for (auto& [task, run] : worker.runs) {
@@ -258,46 +260,46 @@
 // What a call's outcome says of the worker and of this ownership. The worker,
 // or null if it is not known or its life is over.
 Worker* Scheduler::TakeOutcome(const jobs::WorkerLife& life,
-                               OrderOutcome outcome,
+                               CommandOutcome outcome,
                                base::Micros now) {
   Worker* found = this->FindLife(life);
   if (!found)
     return nullptr;
-  if (outcome == OrderOutcome::kOtherLife) {
-    this->LifeIsOver(life, LossSign::kOtherLife, now);
+  if (outcome == CommandOutcome::kOtherIncarnation) {
+    this->LifeIsOver(life, LossReason::kOtherIncarnation, now);
     return nullptr;
   }
-  if (outcome == OrderOutcome::kFenced)
+  if (outcome == CommandOutcome::kFenced)
     this->is_fenced = true;
   return found;
 }
 
 void Scheduler::LookFailed(const jobs::WorkerLife& life,
-                           OrderOutcome outcome,
+                           CommandOutcome outcome,
                            base::Micros now) {
   Worker* found = this->TakeOutcome(life, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
   worker.look_in_flight = false;
-  if (outcome == OrderOutcome::kFenced)
+  if (outcome == CommandOutcome::kFenced)
     return;
   if (++worker.failed_calls == 1) {
-    this->actions.emplace_back(
-        Note{life.id, fmt::format("does not answer ({})",
-                                  base::NameOf(kOrderOutcomeNames, outcome))});
+    this->actions.emplace_back(LogNote{
+        life.id, fmt::format("does not answer ({})",
+                             base::NameOf(kCommandOutcomeNames, outcome))});
   }
   worker.next_look =
       now + std::min(kLookAgain * worker.failed_calls, kLookAgainMost);
 }
 
 void Scheduler::Started(const StartRun& order,
-                        OrderOutcome outcome,
+                        CommandOutcome outcome,
                         base::Micros now,
                         std::int64_t clock_ms) {
   Worker* found = this->HolderOf(order.worker);
   // Another life answered: this one has not started it.
-  if (outcome == OrderOutcome::kOtherLife && found) {
+  if (outcome == CommandOutcome::kOtherIncarnation && found) {
     RemoveRun(*found, order.task);
     this->TaskLost(order.task, order.run, now);
   }
@@ -315,7 +317,7 @@
   if (worker.info.life != order.worker)
     worker.lease_end =
         std::max(worker.lease_end, now + this->limits.longest_lease);
-  if (outcome == OrderOutcome::kDone) {
+  if (outcome == CommandOutcome::kDone) {
     run.answered = now;
     this->NoteClock(worker, order, run, clock_ms, now);
     worker.unanswered_starts = 0;
@@ -325,7 +327,7 @@
       run.state = RunState::kRunning;
     return;
   }
-  if (outcome == OrderOutcome::kUnknown) {
+  if (outcome == CommandOutcome::kUnknown) {
     if (run.state == RunState::kStarting)
       run.state = RunState::kUnsettled;
     run.unsettled = now;
@@ -339,14 +341,15 @@
   RemoveRun(worker, order.task);
   if (job && Exists(*job, PlaceOf(order.task)))
     this->TakeBackLastTry(*job, PlaceOf(order.task), order.run);
-  if (outcome == OrderOutcome::kNotSent)
+  if (outcome == CommandOutcome::kNotSent)
     ++worker.failed_calls;
-  if (outcome == OrderOutcome::kBusy)
+  if (outcome == CommandOutcome::kBusy)
     this->JudgeWorker(worker, true, now);
-  if (outcome == OrderOutcome::kNoTicket && job &&
+  if (outcome == CommandOutcome::kNoTicket && job &&
       Exists(*job, PlaceOf(order.task)))
     StepAt(*job, PlaceOf(order.task)).advice.tickets.erase(order.worker);
-  if (outcome == OrderOutcome::kNoRoom || outcome == OrderOutcome::kLate)
+  if (outcome == CommandOutcome::kNoCapacity ||
+      outcome == CommandOutcome::kLeaseExpired)
     worker.quarantined_until =
         std::max(worker.quarantined_until, now + kLookAgain);
   this->TaskLost(order.task, order.run, now);
@@ -376,7 +379,7 @@
     return;
   worker.unanswered_starts = 0;
   worker.quarantined_until = now + kRest;
-  this->actions.emplace_back(Note{
+  this->actions.emplace_back(LogNote{
       worker.info.life.id,
       fmt::format("leaves {} starts in a row unanswered: nothing is placed "
                   "for {:.0f} s",
@@ -417,7 +420,7 @@
 }
 
 void Scheduler::Stopped(const StopRun& order,
-                        OrderOutcome outcome,
+                        CommandOutcome outcome,
                         base::Micros now) {
   Worker* found = this->TakeOutcome(order.worker, outcome, now);
   if (!found)
@@ -426,8 +429,8 @@
   const auto run = worker.runs.find(order.task);
   if (run == worker.runs.end() || run->second.number != order.run)
     return;
-  const bool settled =
-      outcome == OrderOutcome::kDone || outcome == OrderOutcome::kOld;
+  const bool settled = outcome == CommandOutcome::kDone ||
+                       outcome == CommandOutcome::kSuperseded;
   if (!settled)
     return;
   run->second.stop_answered = now;
@@ -477,7 +480,7 @@
         TaskAt(*job, PlaceOf(task)).lease_ended = now;
     }
     worker.runs_presumed_over = worker.runs_presumed_over || !worker.idle();
-    this->DropRuns(worker, LossSign::kSilence, now);
+    this->DropRuns(worker, LossReason::kLeaseExpired, now);
     if (!worker.announced && worker.failed_calls >= kCallsUntilSilent)
       forgotten.push_back(id);
   }
--- a/scheduler/looks.cc
+++ b/scheduler/looks.cc
@@ -58,7 +58,7 @@
 // them renewed, the wait would always be a whole lease. So a lease is renewed
 // when little of it is left, and the look waits no longer than until then: the
 // tasks of a busy worker that falls silent wait for less than a lease.
-LookAt NextLook(const Worker& worker, base::Micros now) {
+PollWorker NextLook(const Worker& worker, base::Micros now) {
   const base::Micros spare = worker.leased_until - now - kLeastLease;
   const bool is_due = spare < kLeastLookWait;
   const base::Micros wait = WaitOfLook(worker);
@@ -66,9 +66,9 @@
   return {
       .worker = worker.info.life,
       .acknowledged = tells ? worker.acknowledged : 0,
-      .wait = is_due ? wait : std::min(wait, spare),
+      .max_wait = is_due ? wait : std::min(wait, spare),
       // A silent worker's lease is to run out, whether or not it hears this.
-      .renews = is_due && worker.recorded && worker.failed_calls == 0};
+      .renews_lease = is_due && worker.recorded && worker.failed_calls == 0};
 }
 
 }  // namespace
@@ -84,7 +84,7 @@
     worker->look_grant = end;
 }
 
-void Scheduler::LookSent(const LookAt& order, base::Micros now) {
+void Scheduler::LookSent(const PollWorker& order, base::Micros now) {
   Worker* worker = this->FindLife(order.worker);
   if (!worker)
     return;
--- a/scheduler/pacing.cc
+++ b/scheduler/pacing.cc
@@ -50,10 +50,10 @@
     if (pace == run.pace)
       continue;
     run.pace = pace;
-    this->actions.emplace_back(PaceRun{.worker = worker.info.life,
-                                       .task = task,
-                                       .run = run.number,
-                                       .percent = pace});
+    this->actions.emplace_back(ThrottleRun{.worker = worker.info.life,
+                                           .task = task,
+                                           .run = run.number,
+                                           .percent = pace});
   }
 }
 
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -94,7 +94,7 @@
   if (!job || job->finished() || job->cancelled)
     return;
   job->cancelled = true;
-  this->actions.emplace_back(Note{id, "cancelled by its caller"});
+  this->actions.emplace_back(LogNote{id, "cancelled by its caller"});
   this->Finish(*job, jobs::JobState::kCancelled, now);
 }
 
@@ -198,12 +198,12 @@
     job.unsaved_end = job.change;
   else
     this->StopAll(job, now);
-  this->actions.emplace_back(JobOver{.job = job.id,
-                                     .queue = job.queue.name,
-                                     .state = state,
-                                     .took = now - job.accepted,
-                                     .objective = this->ObjectiveOf(job),
-                                     .story = job.story});
+  this->actions.emplace_back(JobFinished{.job = job.id,
+                                         .queue = job.queue.name,
+                                         .state = state,
+                                         .duration = now - job.accepted,
+                                         .objective = this->ObjectiveOf(job),
+                                         .timings = job.story});
 }
 
 void Scheduler::StopAll(Job& job, base::Micros now) {
@@ -249,7 +249,7 @@
                      .text = jobs::EncodeProgress(job->progress),
                      .version = job->version,
                      .change = job->change,
-                     .over = job->progress.IsOver()});
+                     .is_over = job->progress.IsOver()});
   }
 }
 
@@ -282,7 +282,7 @@
     case SaveOutcome::kRefused:
       job->refused_change = result.change;
       this->actions.emplace_back(
-          Note{job->id, "the store does not take its progress"});
+          LogNote{job->id, "the store does not take its progress"});
       break;
   }
   // What was refused is tried again once it has changed.
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -98,24 +98,24 @@
   // --- What came of actions ---
   // `asked` is the life that was meant; another may have answered.
   void Listed(const jobs::WorkerLife& asked,
-              const Listing& listing,
+              const WorkerReport& listing,
               base::Micros now);
   void LookFailed(const jobs::WorkerLife& worker,
-                  OrderOutcome outcome,
+                  CommandOutcome outcome,
                   base::Micros now);
   // `clock_ms` is the worker's clock, as its answer gave it; 0: not known.
   void Started(const StartRun& order,
-               OrderOutcome outcome,
+               CommandOutcome outcome,
                base::Micros now,
                std::int64_t clock_ms = 0);
-  void Stopped(const StopRun& order, OrderOutcome outcome, base::Micros now);
+  void Stopped(const StopRun& order, CommandOutcome outcome, base::Micros now);
   // The answer to AskAdvice, or nothing if there was none.
-  void Advised(const AskAdvice& asked,
+  void Advised(const RequestAdvice& asked,
                const std::optional<Advice>& advice,
                base::Micros now);
   // An order that grants a lease until `end` is about to be sent.
   void Granted(const jobs::WorkerLife& worker, base::Micros end);
-  void LookSent(const LookAt& order, base::Micros now);
+  void LookSent(const PollWorker& order, base::Micros now);
   // The look that is sent now grants a lease until `end`.
   void LookGrants(const jobs::WorkerLife& worker, base::Micros end);
 
@@ -129,7 +129,7 @@
                 base::Micros asked,
                 base::Micros now);
   void Moved(const MoveBox& order, BoxCallOutcome outcome, base::Micros now);
-  void UpkeepBegun(const UpkeepBox& order,
+  void UpkeepBegun(const MaintainBox& order,
                    BoxCallOutcome outcome,
                    base::Micros now);
 
@@ -206,10 +206,10 @@
   void ReleaseDue(base::Micros now);
 
   // ends
-  void TakeEnd(Worker& worker, const ListedEnd& end, base::Micros now);
+  void TakeEnd(Worker& worker, const ReportedEnd& end, base::Micros now);
   void TakeFate(Job& job,
                 const jobs::WorkerLife& worker,
-                const ListedEnd& end,
+                const ReportedEnd& end,
                 base::Micros now);
   void TaskDone(Job& job, const TaskPlace& place, base::Micros now);
   void TaskFailed(Job& job,
@@ -235,7 +235,7 @@
   std::map<jobs::TaskId, jobs::WorkerLoss> LossesUnder(
       const Worker& worker,
       const std::map<jobs::TaskId, Run>& runs,
-      LossSign sign);
+      LossReason sign);
   void NoteLoss(Job& job,
                 const TaskPlace& place,
                 const jobs::WorkerLife& life,
@@ -263,31 +263,33 @@
 
   // what workers tell of jobs that are not known yet
   struct UnknownJob {
-    std::vector<std::pair<jobs::WorkerLife, ListedEnd>> ends;
+    std::vector<std::pair<jobs::WorkerLife, ReportedEnd>> ends;
     std::vector<std::pair<jobs::WorkerLife, jobs::TaskId>> runs;
   };
   UnknownJob& Unknown(const std::string& job);
-  void HoldEnd(Worker& worker, const ListedEnd& end);
-  void HoldRun(Worker& worker, const ListedRun& listed, base::Micros now);
+  void HoldEnd(Worker& worker, const ReportedEnd& end);
+  void HoldRun(Worker& worker, const ReportedRun& listed, base::Micros now);
   void MeetJob(Job& job, base::Micros now);
   void ReleaseEnd(const jobs::WorkerLife& worker,
-                  const ListedEnd& end,
+                  const ReportedEnd& end,
                   std::uint64_t change);
 
   // listings
   Worker* TakeOutcome(const jobs::WorkerLife& life,
-                      OrderOutcome outcome,
+                      CommandOutcome outcome,
                       base::Micros now);
-  void TakeRunning(Worker& worker, const ListedRun& listed, base::Micros now);
-  void NoteSkippedEnd(const Worker& worker, const ListedEnd& end);
+  void TakeRunning(Worker& worker, const ReportedRun& listed, base::Micros now);
+  void NoteSkippedEnd(const Worker& worker, const ReportedEnd& end);
   void NoteClock(Worker& worker,
                  const StartRun& order,
                  Run& run,
                  std::int64_t clock_ms,
                  base::Micros now);
   void RestIfStartsAreLost(Worker& worker, base::Micros now);
-  void AdoptRun(Worker& worker, const ListedRun& listed, base::Micros now);
-  void SettleMissing(Worker& worker, const Listing& listing, base::Micros now);
+  void AdoptRun(Worker& worker, const ReportedRun& listed, base::Micros now);
+  void SettleMissing(Worker& worker,
+                     const WorkerReport& listing,
+                     base::Micros now);
   void Acknowledge(Worker& worker);
 
   // lives of workers
@@ -306,18 +308,18 @@
                const std::optional<PossibleLoss>& loss);
   // This life is over: nothing of it runs.
   void WorkerDied(const jobs::WorkerLife& life,
-                  LossSign sign,
+                  LossReason sign,
                   base::Micros now);
   // The same for good: its announcement may still stand, and be read again.
   void LifeIsOver(const jobs::WorkerLife& life,
-                  LossSign sign,
+                  LossReason sign,
                   base::Micros now);
   void LoseRuns(const Worker& worker,
                 const std::map<jobs::TaskId, Run>& runs,
                 const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-                LossSign sign,
+                LossReason sign,
                 base::Micros now);
-  void DropRuns(Worker& worker, LossSign sign, base::Micros now);
+  void DropRuns(Worker& worker, LossReason sign, base::Micros now);
 
   // leases and looks
   void ExpireLeases(base::Micros now);
@@ -377,7 +379,7 @@
                         std::map<std::string, int>& least);
   int PriorityOf(const jobs::TaskId& task) const;
   void StopForEvacuation(const std::string& box, base::Micros now);
-  BoxEvidence EvidenceOf(const std::string& box, base::Micros now) const;
+  BoxCallContext EvidenceOf(const std::string& box, base::Micros now) const;
   void BoxTaken(const std::string& box, base::Micros now);
   bool MayInterrupt(const jobs::TaskId& task, base::Micros now) const;
   bool HasPlaceElsewhere(const jobs::TaskId& task, base::Micros now);
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -28,13 +28,13 @@
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
   bench.scheduler.Granted(bench.LifeOf("w"), bench.now + milliseconds(2500));
-  bench.scheduler.Started(start, OrderOutcome::kDone, bench.now);
-  const Listing running{.clock_ms = 0,
-                        .running = {{.task = start.task,
-                                     .run = start.run,
-                                     .checkpoint = "",
-                                     .percent = 10}},
-                        .ended = {}};
+  bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+  const WorkerReport running{.clock_ms = 0,
+                             .running = {{.task = start.task,
+                                          .run = start.run,
+                                          .checkpoint = "",
+                                          .percent = 10}},
+                             .ended = {}};
   bench.List("w", running);
   const auto left = [&] {
     return bench.scheduler.FindWorker("w")->lease_end - bench.now;
@@ -45,13 +45,15 @@
     bench.now += milliseconds(10);
     bench.Confirm();
     bench.scheduler.Advance(bench.now);
-    const auto asked = Only<LookAt>(bench.scheduler.TakeActions());
+    const auto asked = Only<PollWorker>(bench.scheduler.TakeActions());
     if (asked.empty())
       continue;
     BOOST_REQUIRE(left() > milliseconds(2200));
     const base::Micros grant = bench.now + seconds(4);
-    bench.now += std::min<base::Micros>(asked.front().wait, milliseconds(200));
-    bench.List("w", running, asked.front().renews ? grant : base::Micros{});
+    bench.now +=
+        std::min<base::Micros>(asked.front().max_wait, milliseconds(200));
+    bench.List("w", running,
+               asked.front().renews_lease ? grant : base::Micros{});
     sum += left();
     ++looks;
   }
@@ -69,7 +71,7 @@
   bench.List("w", {}, bench.now + milliseconds(2000));
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
-  bench.scheduler.Started(start, OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
   jobs::TaskId found = FirstTask("job");
   found.index = 1;
   bench.List(
@@ -80,9 +82,9 @@
   bench.scheduler.Granted(bench.LifeOf("w"), bench.now + seconds(4));
   BOOST_REQUIRE(bench.scheduler.FindWorker("w")->lease_end >=
                 bench.now + seconds(4));
-  const auto asked = Only<LookAt>(bench.Turn());
+  const auto asked = Only<PollWorker>(bench.Turn());
   BOOST_REQUIRE(!asked.empty());
-  BOOST_TEST(asked.back().renews);
+  BOOST_TEST(asked.back().renews_lease);
 }
 
 // A worker of an earlier owner has answered this one, and so refuses the
@@ -115,7 +117,7 @@
   const base::Micros heard = bench.now;
   StartRun start;
   while (start.worker.empty() && bench.now < heard + seconds(20)) {
-    bench.scheduler.LookFailed(bench.LifeOf("dies"), OrderOutcome::kUnknown,
+    bench.scheduler.LookFailed(bench.LifeOf("dies"), CommandOutcome::kUnknown,
                                bench.now);
     const std::vector<Action> actions = bench.Turn();
     bench.Save(Only<SaveProgress>(actions));
@@ -142,30 +144,31 @@
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   std::int64_t number = 0;
-  for (const RunEnd how : {RunEnd::kFailed, RunEnd::kDone}) {
+  for (const RunEndReason how :
+       {RunEndReason::kFailed, RunEndReason::kSucceeded}) {
     const StartRun start = bench.NextStart();
-    bench.scheduler.Started(start, OrderOutcome::kDone, bench.now);
+    bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
     bench.now += milliseconds(700);
     bench.List("w", {.clock_ms = 0,
                      .running = {},
-                     .ended = {{.number = ++number,
+                     .ended = {{.sequence = ++number,
                                 .task = start.task,
                                 .run = start.run,
-                                .how = how,
+                                .reason = how,
                                 .checkpoint = ""}}});
   }
-  const auto over = Only<JobOver>(bench.scheduler.TakeActions());
+  const auto over = Only<JobFinished>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(over.size() == 1U);
   BOOST_TEST(over[0].job == "job");
   BOOST_TEST(over[0].queue == "queue");
   BOOST_CHECK(over[0].state == jobs::JobState::kCompleted);
-  const JobStory& story = over[0].story;
+  const JobStory& story = over[0].timings;
   BOOST_TEST(story.runs == 2);
   BOOST_TEST(story.lost_runs == 1);
   BOOST_CHECK(story.first_placed >= seconds(2));
   BOOST_CHECK(story.longest_wait >= seconds(2));
   BOOST_CHECK(story.longest_run >= milliseconds(700));
-  BOOST_CHECK(over[0].took >= story.longest_wait + story.longest_run);
+  BOOST_CHECK(over[0].duration >= story.longest_wait + story.longest_run);
 }
 
 BOOST_AUTO_TEST_CASE(TaskDoneBeyondACutStopsItsLaterRun) {
@@ -178,22 +181,22 @@
   const StartRun first = bench.NextStart();
   BOOST_REQUIRE(first.run == 1);
   bench.scheduler.Granted(first.worker, bench.now + seconds(1));
-  bench.scheduler.Started(first, OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(first, CommandOutcome::kDone, bench.now);
   // Its worker falls silent, and its lease runs out.
-  bench.scheduler.LookFailed(first.worker, OrderOutcome::kUnknown, bench.now);
+  bench.scheduler.LookFailed(first.worker, CommandOutcome::kUnknown, bench.now);
   bench.now += seconds(8);
   const StartRun second = bench.NextStart();
   BOOST_REQUIRE(second.run == 2);
   BOOST_CHECK(second.worker != first.worker);
   bench.scheduler.Granted(second.worker, bench.now + seconds(4));
-  bench.scheduler.Started(second, OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(second, CommandOutcome::kDone, bench.now);
   // The cut heals: the first run had been done before its lease ran out.
   bench.List(first.worker.id, {.clock_ms = 0,
                                .running = {},
-                               .ended = {{.number = 1,
+                               .ended = {{.sequence = 1,
                                           .task = first.task,
                                           .run = first.run,
-                                          .how = RunEnd::kDone,
+                                          .reason = RunEndReason::kSucceeded,
                                           .checkpoint = ""}}});
   const auto stops = Only<StopRun>(bench.Turn());
   BOOST_REQUIRE(stops.size() == 1);
@@ -212,7 +215,7 @@
   add("serves", false);
   add("fills", true);
   const auto listing = [](std::int64_t tail) {
-    Listing listed;
+    WorkerReport listed;
     for (const char* job : {"serves", "fills"}) {
       const bool serves = std::string(job) == "serves";
       listed.running.push_back({.task = FirstTask(job),
@@ -224,14 +227,14 @@
     return listed;
   };
   bench.List("w", listing(130));
-  auto paces = Only<PaceRun>(bench.Turn());
+  auto paces = Only<ThrottleRun>(bench.Turn());
   BOOST_REQUIRE(paces.size() == 1);
   BOOST_TEST(paces[0].task.job == "fills");
   BOOST_TEST(paces[0].percent == 0);
   bench.List("w", listing(70));
-  BOOST_TEST(Only<PaceRun>(bench.Turn()).empty());
+  BOOST_TEST(Only<ThrottleRun>(bench.Turn()).empty());
   bench.List("w", listing(20));
-  paces = Only<PaceRun>(bench.Turn());
+  paces = Only<ThrottleRun>(bench.Turn());
   BOOST_REQUIRE(paces.size() == 1);
   BOOST_TEST(paces[0].percent == 20);
 }
@@ -244,18 +247,19 @@
   }
   bench.AddJob("job", jobs::Step(), true);
   const std::vector<Action> asked = bench.Turn();
-  BOOST_REQUIRE(Only<AskAdvice>(asked).size() == 1);
+  BOOST_REQUIRE(Only<RequestAdvice>(asked).size() == 1);
   BOOST_TEST(Only<SaveProgress>(asked).empty());
   // One question at a time.
-  BOOST_TEST(Only<AskAdvice>(bench.Turn()).empty());
+  BOOST_TEST(Only<RequestAdvice>(bench.Turn()).empty());
   bench.scheduler.Advised(
-      Only<AskAdvice>(asked)[0],
-      Advice{.tickets = {{{.id = "b"}, "t"}}, .valid = seconds(3)}, bench.now);
+      Only<RequestAdvice>(asked)[0],
+      Advice{.tickets = {{{.id = "b"}, "t"}}, .valid_for = seconds(3)},
+      bench.now);
   const StartRun start = bench.NextStart();
   BOOST_TEST(start.worker.id == "b");
   BOOST_TEST(start.ticket == "t");
   // Refused there: the ticket is not used again.
-  bench.scheduler.Started(start, OrderOutcome::kNoTicket, bench.now);
+  bench.scheduler.Started(start, CommandOutcome::kNoTicket, bench.now);
   BOOST_TEST(Only<StartRun>(bench.Turn()).empty());
 }
 
@@ -269,7 +273,7 @@
   const StartRun start = bench.NextStart();
   BOOST_REQUIRE(start.run == 1);
   bench.scheduler.Granted(bench.LifeOf("w"), bench.now + seconds(8));
-  bench.scheduler.Started(start, OrderOutcome::kUnknown, bench.now);
+  bench.scheduler.Started(start, CommandOutcome::kUnknown, bench.now);
   BOOST_TEST(Only<StopRun>(bench.Turn()).empty());
   bench.List("w", {});
   BOOST_TEST(Only<StopRun>(bench.Turn()).size() == 1U);
@@ -287,7 +291,7 @@
     if (start.worker.empty())
       break;
     ++ordered;
-    bench.scheduler.Started(start, OrderOutcome::kUnknown, bench.now);
+    bench.scheduler.Started(start, CommandOutcome::kUnknown, bench.now);
     bench.List("bad", {});
   }
   BOOST_TEST(ordered == 3);
@@ -302,7 +306,7 @@
   const StartRun start = bench.NextStart();
   BOOST_REQUIRE(start.run == 1);
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 1);
-  bench.scheduler.Started(start, OrderOutcome::kUnknown, bench.now);
+  bench.scheduler.Started(start, CommandOutcome::kUnknown, bench.now);
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 1);
   bench.List("w", {.clock_ms = 0,
                    .running = {{.task = start.task,
@@ -352,8 +356,8 @@
   };
   bench.scheduler.PutWorker(on_box("old", "box-1"), bench.now);
   bench.List("old", {});
-  bench.scheduler.LookFailed(bench.LifeOf("old"), OrderOutcome::kOtherLife,
-                             bench.now);
+  bench.scheduler.LookFailed(bench.LifeOf("old"),
+                             CommandOutcome::kOtherIncarnation, bench.now);
   bench.scheduler.PutWorker(on_box("new", "box-1"), bench.now);
   bench.List("new", {});
   bench.scheduler.PutWorker(on_box("other", "box-2"), bench.now);
@@ -364,19 +368,19 @@
   bench.scheduler.SetWave({.number = 1,
                            .boxes = {"box-1", "box-2"},
                            .duration = seconds(60),
-                           .most_at_once = 1},
+                           .max_concurrent = 1},
                           {}, bench.now);
-  const auto begun = Only<UpkeepBox>(bench.Turn());
+  const auto begun = Only<MaintainBox>(bench.Turn());
   BOOST_REQUIRE(begun.size() == 1U);
   BOOST_REQUIRE(begun[0].box == "box-1");
   bench.scheduler.UpkeepBegun(begun[0], BoxCallOutcome::kDone, bench.now);
   bench.scheduler.PutWorker(on_box("old", "box-1"), bench.now);
   bench.scheduler.PutWorker(on_box("new", "box-1"), bench.now);
-  BOOST_TEST(Only<UpkeepBox>(bench.Turn()).empty());
+  BOOST_TEST(Only<MaintainBox>(bench.Turn()).empty());
   BOOST_TEST(!bench.scheduler.FindWorker("old"));
   // Its next life brings it back.
   bench.scheduler.PutWorker(on_box("next", "box-1"), bench.now);
-  BOOST_TEST(Only<UpkeepBox>(bench.Turn()).size() == 1U);
+  BOOST_TEST(Only<MaintainBox>(bench.Turn()).size() == 1U);
 }
 
 // The boxes of the pool have cores to spare and no memory: without another box
@@ -442,18 +446,18 @@
     for (const StartRun& more : Only<StartRun>(bench.scheduler.TakeActions()))
       starts.push_back(more);
     for (const StartRun& start : starts) {
-      bench.scheduler.Started(start, OrderOutcome::kDone, bench.now);
+      bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
       running[start.worker.id].push_back(start);
       is_started = is_started || start.task.job == "large";
     }
     ++number;
     for (auto& [worker, runs] : running) {
-      Listing listing;
+      WorkerReport listing;
       if (runs.size() >= 4) {
-        listing.ended.push_back({.number = number,
+        listing.ended.push_back({.sequence = number,
                                  .task = runs.front().task,
                                  .run = runs.front().run,
-                                 .how = RunEnd::kDone,
+                                 .reason = RunEndReason::kSucceeded,
                                  .checkpoint = ""});
         runs.erase(runs.begin());
       }
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -109,13 +109,13 @@
       this->bench.Save(Only<SaveProgress>(actions));
       for (const StartRun& start :
            Only<StartRun>(this->bench.scheduler.TakeActions())) {
-        this->bench.scheduler.Started(start, OrderOutcome::kDone,
+        this->bench.scheduler.Started(start, CommandOutcome::kDone,
                                       this->bench.now);
         this->running[start.worker.id].push_back(
             {.task = start.task, .run = start.run, .percent = 100});
         ++this->starts;
       }
-      for (const LookAt& look : Only<LookAt>(actions))
+      for (const PollWorker& look : Only<PollWorker>(actions))
         this->List(look.worker.id);
       for (const MoveBox& move : Only<MoveBox>(actions)) {
         this->bench.scheduler.Moved(move, BoxCallOutcome::kDone,
@@ -138,7 +138,7 @@
   Bench bench{1};
   int lives = 0;
   int starts = 0;
-  std::map<std::string, std::vector<ListedRun>> running;  // by worker
+  std::map<std::string, std::vector<ReportedRun>> running;  // by worker
   std::map<std::string, int> moved;  // boxes, by the pool they went to
 };
 
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -33,7 +33,7 @@
   bench.List("w", {});
   bench.AddJob("busy", Bench::OneLastingTask());
   const StartRun busy = bench.NextStart();
-  bench.scheduler.Started(busy, OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(busy, CommandOutcome::kDone, bench.now);
   jobs::Queue queue;
   queue.name = "queue";
   queue.service = "pool";
@@ -89,8 +89,8 @@
     bench.List("w", {});
     bench.AddJob("job", Bench::OneLastingTask());
     const StartRun start = bench.NextStart();
-    bench.scheduler.Started(start, OrderOutcome::kDone, bench.now);
-    bench.scheduler.LookFailed(Life("w"), OrderOutcome::kUnknown, bench.now);
+    bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+    bench.scheduler.LookFailed(Life("w"), CommandOutcome::kUnknown, bench.now);
     bench.now += seconds(8);
     bench.Turn();
     const auto losses = [&] {
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -17,18 +17,18 @@
 Scheduler::UnknownJob& Scheduler::Unknown(const std::string& job) {
   const auto [entry, is_new] = this->unknown_jobs.try_emplace(job);
   if (is_new)
-    this->actions.emplace_back(ReadJob{job});
+    this->actions.emplace_back(LoadJob{job});
   return entry->second;
 }
 
-void Scheduler::HoldEnd(Worker& worker, const ListedEnd& end) {
+void Scheduler::HoldEnd(Worker& worker, const ReportedEnd& end) {
   this->Unknown(end.task.job).ends.emplace_back(worker.info.life, end);
   worker.pending_ends.push_back(
-      {.number = end.number, .job = end.task.job, .is_held = true});
+      {.number = end.sequence, .job = end.task.job, .is_held = true});
 }
 
 void Scheduler::HoldRun(Worker& worker,
-                        const ListedRun& listed,
+                        const ReportedRun& listed,
                         base::Micros now) {
   Run run{.number = listed.run, .state = RunState::kRunning};
   run.is_held = true;
@@ -64,10 +64,10 @@
     const auto run = worker->second.runs.find(task);
     if (run == worker->second.runs.end())
       continue;
-    const ListedRun listed{.task = task,
-                           .run = run->second.number,
-                           .checkpoint = "",
-                           .percent = run->second.percent};
+    const ReportedRun listed{.task = task,
+                             .run = run->second.number,
+                             .checkpoint = "",
+                             .percent = run->second.percent};
     RemoveRun(worker->second, task);
     this->AdoptRun(worker->second, listed, now);
   }
@@ -90,13 +90,13 @@
 
 // The end may be acknowledged once this change of its job is saved.
 void Scheduler::ReleaseEnd(const jobs::WorkerLife& id,
-                           const ListedEnd& end,
+                           const ReportedEnd& end,
                            std::uint64_t change) {
   const auto worker = this->workers.find(id);
   if (worker == this->workers.end())
     return;
   for (PendingEnd& pending : worker->second.pending_ends) {
-    if (pending.number != end.number)
+    if (pending.number != end.sequence)
       continue;
     pending.is_held = false;
     pending.change = change;
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -29,18 +29,18 @@
   const std::vector<Action> before = bench.Turn();
   BOOST_TEST(Only<SaveProgress>(before).empty());
   BOOST_TEST(Only<StopRun>(before).empty());
-  BOOST_REQUIRE(Only<ReadJob>(before).size() == 1U);
-  BOOST_TEST(Only<ReadJob>(before)[0].job == "over");
+  BOOST_REQUIRE(Only<LoadJob>(before).size() == 1U);
+  BOOST_TEST(Only<LoadJob>(before)[0].job == "over");
   bench.scheduler.JobIsOver("over", bench.now);
   const std::vector<Action> after = bench.Turn();
   BOOST_TEST(Only<SaveProgress>(after).empty());
   BOOST_TEST(Only<StopRun>(after).size() == 1U);
   bench.List("w", {.clock_ms = 0,
                    .running = {},
-                   .ended = {{.number = 1,
+                   .ended = {{.sequence = 1,
                               .task = FirstTask("over"),
                               .run = 3,
-                              .how = RunEnd::kStopped,
+                              .reason = RunEndReason::kStopped,
                               .checkpoint = ""}}});
   BOOST_TEST(Only<SaveProgress>(bench.Turn()).size() == 1U);
 }
@@ -68,13 +68,13 @@
 BOOST_AUTO_TEST_CASE(EndOfAJobThatIsNotKnownYetIsHeldUntilItIs) {
   Bench bench(2);
   bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
-  const Listing listing{.clock_ms = 0,
-                        .running = {},
-                        .ended = {{.number = 1,
-                                   .task = FirstTask("late"),
-                                   .run = 1,
-                                   .how = RunEnd::kDone,
-                                   .checkpoint = ""}}};
+  const WorkerReport listing{.clock_ms = 0,
+                             .running = {},
+                             .ended = {{.sequence = 1,
+                                        .task = FirstTask("late"),
+                                        .run = 1,
+                                        .reason = RunEndReason::kSucceeded,
+                                        .checkpoint = ""}}};
   bench.List("w", listing);
   bench.Turn();
   BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 0);
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -72,7 +72,8 @@
   known->announced = true;
   known->is_described = true;
   if (info.draining && !had_drained)
-    this->actions.emplace_back(Note{info.life.id, "drains: nothing is placed"});
+    this->actions.emplace_back(
+        LogNote{info.life.id, "drains: nothing is placed"});
 }
 
 void Scheduler::InheritWorker(const WorkerInfo& info, base::Micros lease_end) {
@@ -111,7 +112,7 @@
                              base::Micros now) {
   const jobs::WorkerLife over = earlier.info.life;
   std::map<jobs::TaskId, Run> runs = TakeRuns(earlier);
-  const auto losses = this->LossesUnder(earlier, runs, LossSign::kRestarted);
+  const auto losses = this->LossesUnder(earlier, runs, LossReason::kRestarted);
   // 1. The next life, under the same lease as far as that is known.
   Worker& next = this->workers[info.life];
   next.info = info;
@@ -121,7 +122,7 @@
   // 2. What it may have begun.
   WorkerRestarted restarted{.worker = info.life,
                             .earlier_born_ms = over.born_ms,
-                            .ends_read = earlier.processed};
+                            .last_end_sequence = earlier.processed};
   for (auto it = runs.begin(); it != runs.end();) {
     const bool may_be_there =
         !it->second.is_seen && it->second.state != RunState::kPlanned;
@@ -135,7 +136,7 @@
       possible = {.life = over, .loss = loss->second};
     this->MoveRun(next, it->first, std::move(it->second), possible);
     it = runs.erase(it);
-    ++restarted.moved_runs;
+    ++restarted.transferred_runs;
   }
   // An order that was meant for the earlier life may have reached this one: its
   // deadline lies far ahead on a clock that has just begun.
@@ -152,8 +153,8 @@
   next.unanswered = std::move(earlier.unanswered);
   // 3. All else is over.
   if (!runs.empty())
-    this->LoseRuns(earlier, runs, losses, LossSign::kRestarted, now);
-  this->LifeIsOver(over, LossSign::kRestarted, now);
+    this->LoseRuns(earlier, runs, losses, LossReason::kRestarted, now);
+  this->LifeIsOver(over, LossReason::kRestarted, now);
   this->fleet.BoxSeen(info.box, info.life, info.service, now);
   return next;
 }
@@ -191,11 +192,11 @@
   worker->announced = false;
   worker->unlisted = now;
   if (worker->idle() && !worker->look_in_flight)
-    this->WorkerDied(worker->info.life, LossSign::kLeft, now);
+    this->WorkerDied(worker->info.life, LossReason::kDeregistered, now);
 }
 
 void Scheduler::WorkerDied(const jobs::WorkerLife& life,
-                           LossSign sign,
+                           LossReason sign,
                            base::Micros now) {
   const auto found = this->workers.find(life);
   if (found == this->workers.end())
@@ -208,7 +209,7 @@
 // A store that has forgotten its history is read anew, rows of ended lives
 // included: such a life on a box in upkeep would pass for the one after it.
 void Scheduler::LifeIsOver(const jobs::WorkerLife& life,
-                           LossSign sign,
+                           LossReason sign,
                            base::Micros now) {
   const jobs::WorkerLife over = life;
   std::int64_t& latest = this->ended_lives[over.id];
@@ -216,7 +217,7 @@
   this->WorkerDied(over, sign, now);
 }
 
-void Scheduler::DropRuns(Worker& worker, LossSign sign, base::Micros now) {
+void Scheduler::DropRuns(Worker& worker, LossReason sign, base::Micros now) {
   if (worker.idle())
     return;
   const std::map<jobs::TaskId, Run> runs = TakeRuns(worker);
@@ -227,14 +228,14 @@
 void Scheduler::LoseRuns(const Worker& worker,
                          const std::map<jobs::TaskId, Run>& runs,
                          const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-                         LossSign sign,
+                         LossReason sign,
                          base::Micros now) {
   const bool was_heard = worker.last_answer > base::Micros::zero();
-  WorkerLost lost{
-      .worker = worker.info.life,
-      .box = worker.info.box,
-      .sign = sign,
-      .heard_ago = was_heard ? now - worker.last_answer : base::Micros(-1)};
+  WorkerLost lost{.worker = worker.info.life,
+                  .box = worker.info.box,
+                  .reason = sign,
+                  .last_answer_ago =
+                      was_heard ? now - worker.last_answer : base::Micros(-1)};
   for (const auto& [task, run] : runs) {
     lost.runs.push_back({.task = task,
                          .run = run.number,
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -14,10 +14,10 @@
 namespace quartzhoist::testing {
 namespace {
 
-using scheduler::Listing;
-using scheduler::LookAt;
-using scheduler::RunEnd;
+using scheduler::PollWorker;
+using scheduler::RunEndReason;
 using scheduler::SaveProgress;
+using scheduler::WorkerReport;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using Bench = SchedulerBench;
@@ -107,12 +107,12 @@
   bench.AddJob("before");
   const scheduler::StartRun before = bench.NextStart();
   bench.scheduler.Granted(bench.LifeOf("w"), bench.now + milliseconds(2500));
-  bench.scheduler.Started(before, scheduler::OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(before, scheduler::CommandOutcome::kDone, bench.now);
   bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn},
-                   .ended = {{.number = 5,
+                   .ended = {{.sequence = 5,
                               .task = before.task,
                               .run = before.run,
-                              .how = RunEnd::kDone}}});
+                              .reason = RunEndReason::kSucceeded}}});
   bench.Save(Only<SaveProgress>(bench.Turn()));
   bench.Turn();
   // It starts again, numbers its ends from 1 and hears no older number.
@@ -124,14 +124,14 @@
   const scheduler::StartRun after = bench.NextStart();
   BOOST_REQUIRE(after.task == FirstTask("after"));
   bench.scheduler.Granted(bench.LifeOf("w"), bench.now + milliseconds(2500));
-  bench.scheduler.Started(after, scheduler::OrderOutcome::kDone, bench.now);
-  for (const LookAt& look : Only<LookAt>(bench.Turn()))
+  bench.scheduler.Started(after, scheduler::CommandOutcome::kDone, bench.now);
+  for (const PollWorker& look : Only<PollWorker>(bench.Turn()))
     BOOST_TEST(look.acknowledged == 0);
   bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn},
-                   .ended = {{.number = 1,
+                   .ended = {{.sequence = 1,
                               .task = after.task,
                               .run = after.run,
-                              .how = RunEnd::kDone}}});
+                              .reason = RunEndReason::kSucceeded}}});
   const auto saves = Only<SaveProgress>(bench.Turn());
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_CHECK(jobs::DecodeProgress(saves[0].text)->state ==
@@ -149,23 +149,23 @@
   bench.AddJob("first");
   const scheduler::StartRun first = bench.NextStart();
   bench.scheduler.Granted(first.worker, bench.now + milliseconds(2500));
-  bench.scheduler.Started(first, scheduler::OrderOutcome::kDone, bench.now);
-  bench.List("w", {.ended = {{.number = 1,
+  bench.scheduler.Started(first, scheduler::CommandOutcome::kDone, bench.now);
+  bench.List("w", {.ended = {{.sequence = 1,
                               .task = first.task,
                               .run = first.run,
-                              .how = RunEnd::kDone}}});
+                              .reason = RunEndReason::kSucceeded}}});
   bench.AddJob("next");
   const scheduler::StartRun next = bench.NextStart();
   BOOST_REQUIRE(next.task == FirstTask("next"));
   bench.scheduler.Granted(next.worker, bench.now + milliseconds(2500));
-  bench.scheduler.Started(next, scheduler::OrderOutcome::kDone, bench.now);
+  bench.scheduler.Started(next, scheduler::CommandOutcome::kDone, bench.now);
   // The look that was under way tells nothing of the start.
   bench.List("w", {});
-  const auto before = Only<LookAt>(bench.Turn());
+  const auto before = Only<PollWorker>(bench.Turn());
   BOOST_REQUIRE(before.size() == 1U);
   BOOST_TEST(before[0].acknowledged == 0);
   bench.List("w", {.running = {{.task = next.task, .run = next.run}}});
-  const auto after = Only<LookAt>(bench.Turn());
+  const auto after = Only<PollWorker>(bench.Turn());
   BOOST_REQUIRE(after.size() == 1U);
   BOOST_TEST(after[0].acknowledged == 1);
 }
@@ -181,11 +181,13 @@
   bench.AddJob("job");
   const scheduler::StartRun start = bench.NextStart();
   bench.scheduler.Granted(start.worker, bench.now + milliseconds(2500));
-  bench.scheduler.Started(start, scheduler::OrderOutcome::kUnknown, bench.now);
+  bench.scheduler.Started(start, scheduler::CommandOutcome::kUnknown,
+                          bench.now);
   for (int i = 0; i < 4; ++i) {
     for (const scheduler::StopRun& stop :
          Only<scheduler::StopRun>(bench.Turn()))
-      bench.scheduler.Stopped(stop, scheduler::OrderOutcome::kDone, bench.now);
+      bench.scheduler.Stopped(stop, scheduler::CommandOutcome::kDone,
+                              bench.now);
     bench.List("w", {});
   }
   BOOST_REQUIRE(!bench.scheduler.FindWorker("w")->runs.contains(start.task));
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -84,7 +84,7 @@
 
   // The worker answers a look that is sent now, and that may grant a lease.
   void List(const std::string& worker,
-            scheduler::Listing listing,
+            scheduler::WorkerReport listing,
             base::Micros grant = {}) {
     const jobs::WorkerLife asked = this->LifeOf(worker);
     if (listing.life.empty())
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -389,30 +389,31 @@
     this->SendStart(owner, *start);
   else if (const auto* stop = std::get_if<scheduler::StopRun>(&action))
     this->SendStop(owner, *stop);
-  else if (const auto* look = std::get_if<scheduler::LookAt>(&action))
+  else if (const auto* look = std::get_if<scheduler::PollWorker>(&action))
     this->SendLook(owner, *look);
   else if (const auto* save = std::get_if<scheduler::SaveProgress>(&action))
     this->Save(owner, *save);
-  else if (const auto* read = std::get_if<scheduler::ReadJob>(&action))
+  else if (const auto* read = std::get_if<scheduler::LoadJob>(&action))
     this->ReadJob(owner, read->job);
   else if (const auto* move = std::get_if<scheduler::MoveBox>(&action))
     this->Record(owner, *move);
-  else if (const auto* upkeep = std::get_if<scheduler::UpkeepBox>(&action))
+  else if (const auto* upkeep = std::get_if<scheduler::MaintainBox>(&action))
     this->Record(owner, *upkeep);
   else if (const auto* lost = std::get_if<scheduler::WorkerLost>(&action))
-    this->Record(fmt::format(
-        "owner {}: {} is lost ({}) with {} runs", this->owners[owner].epoch,
-        lost->worker.id, base::NameOf(scheduler::kLossSignNames, lost->sign),
-        lost->runs.size()));
+    this->Record(
+        fmt::format("owner {}: {} is lost ({}) with {} runs",
+                    this->owners[owner].epoch, lost->worker.id,
+                    base::NameOf(scheduler::kLossReasonNames, lost->reason),
+                    lost->runs.size()));
   else if (const auto* again = std::get_if<scheduler::WorkerRestarted>(&action))
     this->Record(fmt::format(
         "owner {}: {} has started again, {} runs may be there",
-        this->owners[owner].epoch, again->worker.id, again->moved_runs));
+        this->owners[owner].epoch, again->worker.id, again->transferred_runs));
   else if (const auto* task = std::get_if<scheduler::TaskGivenUp>(&action))
     this->Record(fmt::format("owner {}: {} {}.{} is given up",
                              this->owners[owner].epoch, task->job,
                              task->task.step.step, task->task.index));
-  else if (const auto* note = std::get_if<scheduler::Note>(&action))
+  else if (const auto* note = std::get_if<scheduler::LogNote>(&action))
     this->Record(fmt::format("owner {}: {}: {}", this->owners[owner].epoch,
                              note->subject, note->text));
 }
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -137,7 +137,7 @@
     base::Micros deadline{};  // on its own clock
     std::map<jobs::TaskId, WorkerRun> running;
     std::map<jobs::TaskId, int> over;  // highest run that ended or was stopped
-    std::vector<scheduler::ListedEnd> ends;
+    std::vector<scheduler::ReportedEnd> ends;
     std::int64_t last_number = 0;
     std::int64_t acknowledged = 0;
   };
@@ -206,7 +206,7 @@
                 const scheduler::BoxCall& call,
                 bool is_answered);
   scheduler::BoxCallOutcome Move(const scheduler::MoveBox& call);
-  scheduler::BoxCallOutcome Upkeep(const scheduler::UpkeepBox& call);
+  scheduler::BoxCallOutcome Upkeep(const scheduler::MaintainBox& call);
   void Answer(std::size_t owner,
               const scheduler::BoxCall& call,
               scheduler::BoxCallOutcome outcome);
@@ -224,16 +224,17 @@
   void Carry(std::size_t owner, const scheduler::Action& action);
   void SendStart(std::size_t owner, const scheduler::StartRun& order);
   void SendStop(std::size_t owner, const scheduler::StopRun& order);
-  void SendLook(std::size_t owner, const scheduler::LookAt& order);
+  void SendLook(std::size_t owner, const scheduler::PollWorker& order);
   void Save(std::size_t owner, const scheduler::SaveProgress& save);
-  void Deliver(std::size_t owner,
-               const std::string& worker,
-               const std::function<scheduler::OrderOutcome(Worker&)>& carry_out,
-               const std::function<void(scheduler::OrderOutcome)>& answer);
-  scheduler::OrderOutcome BeginRun(Worker& worker,
-                                   const scheduler::StartRun& order,
-                                   std::uint64_t epoch,
-                                   base::Micros deadline);
+  void Deliver(
+      std::size_t owner,
+      const std::string& worker,
+      const std::function<scheduler::CommandOutcome(Worker&)>& carry_out,
+      const std::function<void(scheduler::CommandOutcome)>& answer);
+  scheduler::CommandOutcome BeginRun(Worker& worker,
+                                     const scheduler::StartRun& order,
+                                     std::uint64_t epoch,
+                                     base::Micros deadline);
   void JudgeStart(const Worker& worker, const scheduler::StartRun& order);
   void JudgeCrashes(const scheduler::StartRun& order);
   void CrashLater(const Worker& worker, const scheduler::StartRun& order);
@@ -242,13 +243,15 @@
   void Restart(Worker& worker);
   void BeginNextLife(Worker& worker);
   void ChangeCapacity(const std::string& id, const jobs::Resources& capacity);
-  void EndRun(Worker& worker, const jobs::TaskId& task, scheduler::RunEnd how);
+  void EndRun(Worker& worker,
+              const jobs::TaskId& task,
+              scheduler::RunEndReason how);
   void WorkOn(Worker& worker);
   void Note(Worker& worker, std::int64_t acknowledged);
   // A start or a look grants a lease.
   void Grant(Worker& worker, base::Micros deadline) const;
   base::Micros ClockOf(const Worker& worker) const;
-  scheduler::Listing ListingOf(const Worker& worker) const;
+  scheduler::WorkerReport ListingOf(const Worker& worker) const;
   void Broke(const std::string& what);
   void Record(const std::string& what);
 
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -99,7 +99,7 @@
   scheduler::Wave wave{.number = kWave,
                        .boxes = {},
                        .duration = std::chrono::seconds(60),
-                       .most_at_once = this->wave_most};
+                       .max_concurrent = this->wave_most};
   std::vector<std::string> begun;
   for (const auto& [name, box] : this->boxes) {
     wave.boxes.push_back(name);
@@ -182,7 +182,7 @@
       found->second.epoch = epoch;
       outcome = std::holds_alternative<scheduler::MoveBox>(call)
                     ? this->Move(std::get<scheduler::MoveBox>(call))
-                    : this->Upkeep(std::get<scheduler::UpkeepBox>(call));
+                    : this->Upkeep(std::get<scheduler::MaintainBox>(call));
     }
   }
   this->Record(fmt::format(
@@ -205,7 +205,7 @@
   return BoxCallOutcome::kDone;
 }
 
-BoxCallOutcome SchedulerModel::Upkeep(const scheduler::UpkeepBox& call) {
+BoxCallOutcome SchedulerModel::Upkeep(const scheduler::MaintainBox& call) {
   Box& box = this->boxes.at(call.box);
   if (box.had_upkeep)
     return BoxCallOutcome::kDone;
@@ -213,12 +213,12 @@
     return BoxCallOutcome::kBusy;
   const auto down = std::count_if(
       this->boxes.begin(), this->boxes.end(), [](const auto& entry) {
-        return entry.second.state == BoxState::kUpkeep;
+        return entry.second.state == BoxState::kMaintenance;
       });
   if (down >= this->wave_most)
     this->Broke(
         fmt::format("{} begins its upkeep while {} are down", call.box, down));
-  this->Take(call.box, BoxState::kUpkeep, kUpkeepTime);
+  this->Take(call.box, BoxState::kMaintenance, kUpkeepTime);
   box.had_upkeep = true;
   return BoxCallOutcome::kDone;
 }
@@ -237,7 +237,8 @@
   if (const auto* move = std::get_if<scheduler::MoveBox>(&call))
     owner.Moved(*move, outcome, this->now);
   else
-    owner.UpkeepBegun(std::get<scheduler::UpkeepBox>(call), outcome, this->now);
+    owner.UpkeepBegun(std::get<scheduler::MaintainBox>(call), outcome,
+                      this->now);
 }
 
 // --- What may be away ---
--- a/testing/scheduler_model_messages.cc
+++ b/testing/scheduler_model_messages.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-using scheduler::OrderOutcome;
+using scheduler::CommandOutcome;
 using std::chrono::milliseconds;
 
 constexpr base::Micros kOrderTimeout = milliseconds(800);
@@ -20,10 +20,10 @@
 void SchedulerModel::Deliver(
     std::size_t index,
     const std::string& id,
-    const std::function<OrderOutcome(Worker&)>& carry_out,
-    const std::function<void(OrderOutcome)>& answer) {
+    const std::function<CommandOutcome(Worker&)>& carry_out,
+    const std::function<void(CommandOutcome)>& answer) {
   const auto answer_after = [this, index, answer](base::Micros delay,
-                                                  OrderOutcome outcome) {
+                                                  CommandOutcome outcome) {
     this->After(delay, [this, index, answer, outcome] {
       // A frozen owner reads its answers when it thaws.
       const base::Micros thaw = this->owners[index].frozen_until;
@@ -38,24 +38,24 @@
   const bool is_dead = found == this->workers.end() || !found->second.alive;
   if (is_dead) {
     if (found != this->workers.end() && found->second.restarting) {
-      answer_after(milliseconds(5), OrderOutcome::kNotSent);
+      answer_after(milliseconds(5), CommandOutcome::kNotSent);
       return;
     }
     // Nobody listens at the address until the box is back.
     if (found != this->workers.end() && found->second.reborn_at) {
       answer_after(milliseconds(5), this->now < *found->second.reborn_at
-                                        ? OrderOutcome::kNotSent
-                                        : OrderOutcome::kOtherLife);
+                                        ? CommandOutcome::kNotSent
+                                        : CommandOutcome::kOtherIncarnation);
       return;
     }
     const bool silent = found != this->workers.end() && found->second.dark;
     answer_after(milliseconds(5), silent || this->Chance(0.5)
-                                      ? OrderOutcome::kUnknown
-                                      : OrderOutcome::kOtherLife);
+                                      ? CommandOutcome::kUnknown
+                                      : CommandOutcome::kOtherIncarnation);
     return;
   }
   if (is_cut || this->Chance(this->faults.lost_order)) {
-    answer_after(kOrderTimeout, OrderOutcome::kUnknown);
+    answer_after(kOrderTimeout, CommandOutcome::kUnknown);
     return;
   }
   const bool late = this->Chance(this->faults.late_order);
@@ -63,17 +63,17 @@
   const base::Micros delay =
       late ? this->Between(2000, 6000) : this->Between(1, 30);
   if (lost)
-    answer_after(kOrderTimeout, OrderOutcome::kUnknown);
+    answer_after(kOrderTimeout, CommandOutcome::kUnknown);
   // What is on its way to a life is lost with it.
   this->After(delay, [this, id, carry_out, lost, answer_after,
                       born = found->second.born_ms] {
     Worker& worker = this->workers.at(id);
     if (!worker.alive || worker.born_ms != born) {
       if (!lost)
-        answer_after(kOrderTimeout, OrderOutcome::kUnknown);
+        answer_after(kOrderTimeout, CommandOutcome::kUnknown);
       return;
     }
-    const OrderOutcome outcome = carry_out(worker);
+    const CommandOutcome outcome = carry_out(worker);
     if (!lost)
       answer_after(this->Between(1, 30), outcome);
   });
@@ -86,7 +86,7 @@
   const base::Micros deadline = milliseconds(by.Deadline(order.worker, end));
   if (deadline <= base::Micros::zero() || end <= this->now ||
       !by.StillWanted(order)) {
-    by.Started(order, OrderOutcome::kNotSent, this->now);
+    by.Started(order, CommandOutcome::kNotSent, this->now);
     return;
   }
   by.Granted(order.worker, end);
@@ -98,7 +98,7 @@
         *clock = this->ClockOf(worker);
         return this->BeginRun(worker, order, epoch, deadline);
       },
-      [this, index, order, clock](OrderOutcome outcome) {
+      [this, index, order, clock](CommandOutcome outcome) {
         this->owners[index].scheduler->Started(order, outcome, this->now,
                                                base::Millis(*clock));
       });
@@ -111,7 +111,7 @@
       index, order.worker.id,
       [this, order, epoch](Worker& worker) {
         if (epoch < worker.epoch)
-          return OrderOutcome::kFenced;
+          return CommandOutcome::kFenced;
         worker.epoch = epoch;
         int& over = worker.over[order.task];
         over = std::max(over, order.run);
@@ -122,39 +122,39 @@
           run->second.stopping = true;
           run->second.ends = this->now + this->Between(0, 380);
         }
-        return OrderOutcome::kDone;
+        return CommandOutcome::kDone;
       },
-      [this, index, order](OrderOutcome outcome) {
+      [this, index, order](CommandOutcome outcome) {
         this->owners[index].scheduler->Stopped(order, outcome, this->now);
       });
 }
 
 void SchedulerModel::SendLook(std::size_t index,
-                              const scheduler::LookAt& order) {
+                              const scheduler::PollWorker& order) {
   scheduler::Scheduler& by = *this->owners[index].scheduler;
   const base::Micros end = by.LeaseEnd(this->now);
   const base::Micros deadline =
-      order.renews ? milliseconds(by.Deadline(order.worker, end))
-                   : milliseconds(0);
+      order.renews_lease ? milliseconds(by.Deadline(order.worker, end))
+                         : milliseconds(0);
   by.LookSent(order, this->now);
   if (deadline > base::Micros::zero())
     by.LookGrants(order.worker, end);
   const std::uint64_t epoch = this->owners[index].epoch;
-  auto listing = std::make_shared<scheduler::Listing>();
+  auto listing = std::make_shared<scheduler::WorkerReport>();
   this->Deliver(
       index, order.worker.id,
       [this, order, epoch, deadline, listing](Worker& worker) {
         if (epoch < worker.epoch)
-          return OrderOutcome::kFenced;
+          return CommandOutcome::kFenced;
         worker.epoch = epoch;
         this->Grant(worker, deadline);
         this->Note(worker, order.acknowledged);
         *listing = this->ListingOf(worker);
-        return OrderOutcome::kDone;
+        return CommandOutcome::kDone;
       },
-      [this, index, order, listing](OrderOutcome outcome) {
+      [this, index, order, listing](CommandOutcome outcome) {
         scheduler::Scheduler& owner = *this->owners[index].scheduler;
-        if (outcome == OrderOutcome::kDone)
+        if (outcome == CommandOutcome::kDone)
           owner.Listed(order.worker, *listing, this->now);
         else
           owner.LookFailed(order.worker, outcome, this->now);
--- a/testing/scheduler_model_store.cc
+++ b/testing/scheduler_model_store.cc
@@ -60,7 +60,7 @@
       .text = entry::EncodeKept({.text = save.text}),
       .version = save.version,
       .change = save.change,
-      .over = save.over};
+      .is_over = save.is_over};
   const auto write = [this, save] {
     StoredJob& stored = this->jobs.at(save.job);
     if (stored.version != save.version)
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-using scheduler::OrderOutcome;
+using scheduler::CommandOutcome;
 using std::chrono::milliseconds;
 
 // The longest time without contact, and a heartbeat.
@@ -30,22 +30,22 @@
   worker.deadline = std::max(worker.deadline, std::min(deadline, latest));
 }
 
-OrderOutcome SchedulerModel::BeginRun(Worker& worker,
-                                      const scheduler::StartRun& order,
-                                      std::uint64_t epoch,
-                                      base::Micros deadline) {
+CommandOutcome SchedulerModel::BeginRun(Worker& worker,
+                                        const scheduler::StartRun& order,
+                                        std::uint64_t epoch,
+                                        base::Micros deadline) {
   if (epoch < worker.epoch)
-    return OrderOutcome::kFenced;
+    return CommandOutcome::kFenced;
   worker.epoch = epoch;
   if (deadline < this->ClockOf(worker))
-    return OrderOutcome::kLate;
+    return CommandOutcome::kLeaseExpired;
   this->Grant(worker, deadline);
   const auto over = worker.over.find(order.task);
   const auto run = worker.running.find(order.task);
   if (run != worker.running.end() && run->second.number == order.run)
-    return OrderOutcome::kDone;
+    return CommandOutcome::kDone;
   if (over != worker.over.end() && order.run <= over->second)
-    return OrderOutcome::kOld;
+    return CommandOutcome::kSuperseded;
   this->JudgeStart(worker, order);
   this->JudgeCrashes(order);
   this->Record(fmt::format("{} starts {} {}.{} run {}", worker.id,
@@ -65,7 +65,7 @@
   worker.running[order.task] = {
       .number = order.run, .ends = ends, .fails = fails};
   this->CrashLater(worker, order);
-  return OrderOutcome::kDone;
+  return CommandOutcome::kDone;
 }
 
 void SchedulerModel::CrashLater(const Worker& worker,
@@ -204,35 +204,35 @@
 
 void SchedulerModel::EndRun(Worker& worker,
                             const jobs::TaskId& task,
-                            scheduler::RunEnd how) {
+                            scheduler::RunEndReason how) {
   const auto found = worker.running.find(task);
   const int number = found->second.number;
   this->Record(fmt::format("{}: {} {}.{} run {} ends {}", worker.id, task.job,
                            task.step, task.index, number,
-                           base::NameOf(scheduler::kRunEndNames, how)));
+                           base::NameOf(scheduler::kRunEndReasonNames, how)));
   worker.running.erase(found);
   int& over = worker.over[task];
   over = std::max(over, number);
-  worker.ends.push_back({.number = ++worker.last_number,
+  worker.ends.push_back({.sequence = ++worker.last_number,
                          .task = task,
                          .run = number,
-                         .how = how,
+                         .reason = how,
                          .checkpoint = ""});
-  if (how == scheduler::RunEnd::kDone)
+  if (how == scheduler::RunEndReason::kSucceeded)
     this->jobs.at(task.job).ever_done.insert(scheduler::PlaceOf(task));
 }
 
 void SchedulerModel::WorkOn(Worker& worker) {
   const bool lapsed = this->ClockOf(worker) > worker.deadline;
-  std::vector<std::pair<jobs::TaskId, scheduler::RunEnd>> over;
+  std::vector<std::pair<jobs::TaskId, scheduler::RunEndReason>> over;
   for (const auto& [task, run] : worker.running) {
     if (lapsed)
-      over.emplace_back(task, scheduler::RunEnd::kLapsed);
+      over.emplace_back(task, scheduler::RunEndReason::kLeaseExpired);
     else if (run.stopping && run.ends <= this->now)
-      over.emplace_back(task, scheduler::RunEnd::kStopped);
+      over.emplace_back(task, scheduler::RunEndReason::kStopped);
     else if (run.ends <= this->now)
-      over.emplace_back(task, run.fails ? scheduler::RunEnd::kFailed
-                                        : scheduler::RunEnd::kDone);
+      over.emplace_back(task, run.fails ? scheduler::RunEndReason::kFailed
+                                        : scheduler::RunEndReason::kSucceeded);
   }
   for (const auto& [task, how] : over)
     this->EndRun(worker, task, how);
@@ -240,22 +240,22 @@
 
 // The worker is told that ends up to this number are recorded.
 void SchedulerModel::Note(Worker& worker, std::int64_t acknowledged) {
-  for (const scheduler::ListedEnd& end : worker.ends) {
-    if (end.number > acknowledged)
+  for (const scheduler::ReportedEnd& end : worker.ends) {
+    if (end.sequence > acknowledged)
       continue;
     StoredJob& stored = this->jobs.at(end.task.job);
-    if (end.how == scheduler::RunEnd::kDone)
+    if (end.reason == scheduler::RunEndReason::kSucceeded)
       stored.done.insert(scheduler::PlaceOf(end.task));
-    if (end.how == scheduler::RunEnd::kFailed)
+    if (end.reason == scheduler::RunEndReason::kFailed)
       ++stored.failed[scheduler::PlaceOf(end.task)];
   }
-  std::erase_if(worker.ends, [acknowledged](const scheduler::ListedEnd& end) {
-    return end.number <= acknowledged;
+  std::erase_if(worker.ends, [acknowledged](const scheduler::ReportedEnd& end) {
+    return end.sequence <= acknowledged;
   });
 }
 
-scheduler::Listing SchedulerModel::ListingOf(const Worker& worker) const {
-  scheduler::Listing listing;
+scheduler::WorkerReport SchedulerModel::ListingOf(const Worker& worker) const {
+  scheduler::WorkerReport listing;
   listing.life = {.id = worker.id, .born_ms = worker.born_ms};
   listing.clock_ms = base::Millis(this->ClockOf(worker));
   for (const auto& [task, run] : worker.running) {
