--- a/entry/decision_log.cc
+++ b/entry/decision_log.cc
@@ -44,7 +44,7 @@
 }  // namespace
 
 void LogJobOver(const scheduler::JobFinished& over) {
-  const scheduler::JobStory& story = over.timings;
+  const scheduler::JobTimings& story = over.timings;
   // A job that was cancelled before it began has no first place.
   const base::Micros first = story.first_placed.value_or(milliseconds(-1));
   base::Log(base::Event::kJobOver,
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -304,7 +304,7 @@
         {{"id", id},
          {"queue", job.queue.name},
          {"state", base::NameOf(jobs::kJobStateNames, job.progress.state)},
-         {"given_up", scheduler::GivenUpTasks(job)}});
+         {"given_up", scheduler::CountGivenUpTasks(job)}});
   }
   return dump.dump();
 }
--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -158,7 +158,7 @@
   jobs::JobState state = jobs::JobState::kCompleted;
   base::Micros duration{};   // since it was accepted
   base::Micros objective{};  // within which it was to be completed
-  JobStory timings;
+  JobTimings timings;
 };
 
 using Action = std::variant<StartRun,
--- a/scheduler/advice.cc
+++ b/scheduler/advice.cc
@@ -24,14 +24,14 @@
 }  // namespace
 
 bool Scheduler::HasAdvice(Job& job,
-                          const TaskPlace& place,
+                          const TaskPosition& place,
                           const std::vector<Worker*>& candidates,
                           base::Micros now) {
-  StepRuns& runs = StepAt(job, place);
+  StepState& runs = StepAt(job, place);
   StepAdvice& advice = runs.advice;
-  if (!advice.tickets.empty() && now + kTicketMargin < advice.until)
+  if (!advice.tickets.empty() && now + kTicketMargin < advice.valid_until)
     return true;
-  if (advice.in_flight || now < advice.asked + kAskAgain)
+  if (advice.in_flight || now < advice.requested_at + kAskAgain)
     return false;
   // The emptiest: they are the likeliest to have room when the answer comes.
   std::vector<const Worker*> asked(candidates.begin(), candidates.end());
@@ -49,7 +49,7 @@
   for (const Worker* worker : asked)
     ask.workers.push_back(worker->info.life);
   advice.in_flight = true;
-  advice.asked = now;
+  advice.requested_at = now;
   this->actions.emplace_back(std::move(ask));
   return false;
 }
@@ -58,19 +58,19 @@
                         const std::optional<Advice>& answer,
                         base::Micros now) {
   Job* job = this->FindJob(asked.job);
-  const TaskPlace place{
+  const TaskPosition place{
       .occurrence = asked.occurrence, .step = asked.step, .index = 0};
-  if (!job || !Exists(*job, place))
+  if (!job || !HasTask(*job, place))
     return;
   StepAdvice& advice = StepAt(*job, place).advice;
   advice.in_flight = false;
   if (!answer) {
-    advice.asked = now;
+    advice.requested_at = now;
     return;
   }
   advice.tickets = answer->tickets;
   // From when it was asked: the service may have decided at once.
-  advice.until = advice.asked + answer->valid_for;
+  advice.valid_until = advice.requested_at + answer->valid_for;
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -37,7 +37,7 @@
 // The worker has told of the run; or an earlier owner placed it, and did not
 // live to note more than that.
 bool WasSeen(const Job& job,
-             const TaskPlace& place,
+             const TaskPosition& place,
              const Worker& worker,
              const Run& run) {
   if (run.answered > base::Micros::zero())
@@ -53,7 +53,7 @@
                      [](const jobs::Step& step) { return step.lasting; });
 }
 
-TaskPlace PlaceOfKey(const jobs::TaskKey& key) {
+TaskPosition PlaceOfKey(const jobs::TaskKey& key) {
   return {.occurrence = key.step.occurrence,
           .step = key.step.step,
           .index = key.index};
@@ -83,7 +83,7 @@
     // A lasting task that was at work for long is not what ended its worker.
     const bool may_be_cause =
         run.state != RunState::kPlanned && !(run.lasting && ran >= kStartProof);
-    if (!may_be_cause || !job || !Exists(*job, PlaceOf(id)))
+    if (!may_be_cause || !job || !HasTask(*job, PositionOf(id)))
       continue;
     const bool was_alone =
         ran < kStartProof &&
@@ -93,20 +93,20 @@
                   .box = worker.info.box,
                   .has_crashed = has_crashed,
                   .was_alone = was_alone,
-                  .was_seen = WasSeen(*job, PlaceOf(id), worker, run)};
+                  .was_seen = WasSeen(*job, PositionOf(id), worker, run)};
   }
   return losses;
 }
 
 void Scheduler::NoteLoss(Job& job,
-                         const TaskPlace& place,
+                         const TaskPosition& place,
                          const jobs::WorkerLife& life,
                          const jobs::WorkerLoss& loss,
                          base::Micros now) {
   if (job.finished() || TaskAt(job, place).state == TaskState::kDone)
     return;
   job.progress.MarkLost(KeyOf(place), life, loss);
-  TaskAt(job, place).newest_loss = now;
+  TaskAt(job, place).latest_loss_at = now;
   if (loss.has_crashed)
     this->GiveUpCauses(job, now);
   else if (!loss.box.empty())
@@ -116,7 +116,7 @@
 // An earlier owner placed the task on a worker that nobody knows any more. How
 // it went, that owner may have known and not lived to record.
 void Scheduler::NoteUnseenLoss(Job& job,
-                               const TaskPlace& place,
+                               const TaskPosition& place,
                                const jobs::Placement& placement,
                                base::Micros now) {
   this->NoteLoss(job, place, placement.worker, {.run = placement.run}, now);
@@ -125,10 +125,11 @@
 // Gives up plans that were made before another owner's knowledge of the losses,
 // read from its row, came to light; their own record was refused. The places
 // concerned.
-std::vector<TaskPlace> Scheduler::VoidSuspectPlans(Job& job,
-                                                   const jobs::Progress& stored,
-                                                   base::Micros now) {
-  std::vector<TaskPlace> voided;
+std::vector<TaskPosition> Scheduler::VoidSuspectPlans(
+    Job& job,
+    const jobs::Progress& stored,
+    base::Micros now) {
+  std::vector<TaskPosition> voided;
   const std::vector<PendingStart> pending = job.pending_starts;
   for (const PendingStart& start : pending) {
     const auto worker = this->workers.find(TaskAt(job, start.place).worker);
@@ -155,10 +156,10 @@
 // The losses that the job's row tells of, as an owner reads it.
 void Scheduler::InheritLosses(Job& job, base::Micros now) {
   for (const auto& [key, losses] : job.progress.losses) {
-    const TaskPlace place = PlaceOfKey(key);
-    if (!Exists(job, place))
+    const TaskPosition place = PlaceOfKey(key);
+    if (!HasTask(job, place))
       continue;
-    TaskAt(job, place).newest_loss = now;
+    TaskAt(job, place).latest_loss_at = now;
     for (const auto& [life, loss] : losses) {
       if (!loss.has_crashed && !loss.box.empty())
         this->open_losses.Add(life, loss.box, job.id);
@@ -196,14 +197,14 @@
 }
 
 // Told when the run is planned, so that the row says so before it starts.
-void Scheduler::NoteLastTry(Job& job, const TaskPlace& place, int run) {
+void Scheduler::NoteLastTry(Job& job, const TaskPosition& place, int run) {
   const auto found = job.progress.losses.find(KeyOf(place));
   if (found != job.progress.losses.end() && IsLastTry(found->second))
     job.progress.last_tries[KeyOf(place)].insert(run);
 }
 
 // The run has not been started after all.
-void Scheduler::TakeBackLastTry(Job& job, const TaskPlace& place, int run) {
+void Scheduler::TakeBackLastTry(Job& job, const TaskPosition& place, int run) {
   const auto found = job.progress.last_tries.find(KeyOf(place));
   if (found == job.progress.last_tries.end())
     return;
@@ -213,7 +214,7 @@
 }
 
 Suspicion Scheduler::SuspicionOf(const Job& job,
-                                 const TaskPlace& place,
+                                 const TaskPosition& place,
                                  base::Micros now) const {
   if (job.progress.losses.empty())
     return Suspicion::kNone;
@@ -226,19 +227,19 @@
   return Judge(found->second,
                tries == job.progress.last_tries.end() ? jobs::RunNumbers()
                                                       : tries->second,
-               now - task.newest_loss, StepOf(job, place).lasting);
+               now - task.latest_loss_at, StepOf(job, place).lasting);
 }
 
 // The members of a gang start together.
 Suspicion Scheduler::SuspicionOfStart(const Job& job,
-                                      const TaskPlace& place,
+                                      const TaskPosition& place,
                                       base::Micros now) const {
   if (job.progress.losses.empty() || !StepOf(job, place).gang)
     return this->SuspicionOf(job, place, now);
   Suspicion worst = Suspicion::kNone;
   const auto members = static_cast<int>(StepAt(job, place).tasks.size());
   for (int i = 0; i < members; ++i) {
-    const TaskPlace member{
+    const TaskPosition member{
         .occurrence = place.occurrence, .step = place.step, .index = i};
     worst = std::max(worst, this->SuspicionOf(job, member, now));
   }
@@ -253,8 +254,8 @@
     return;
   const bool serves_on = HasLastingStep(job);
   for (const auto& [key, losses] : job.progress.losses) {
-    const TaskPlace place = PlaceOfKey(key);
-    if (!Exists(job, place))
+    const TaskPosition place = PlaceOfKey(key);
+    if (!HasTask(job, place))
       continue;
     Task& task = TaskAt(job, place);
     const bool may_start =
@@ -283,8 +284,8 @@
   Job* job = this->FindJob(id.job);
   if (!job || job->progress.losses.empty())
     return;
-  job->progress.losses.erase(KeyOf(PlaceOf(id)));
-  job->progress.last_tries.erase(KeyOf(PlaceOf(id)));
+  job->progress.losses.erase(KeyOf(PositionOf(id)));
+  job->progress.last_tries.erase(KeyOf(PositionOf(id)));
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -55,12 +55,12 @@
     RemoveRun(worker, end.task);
     Job* job = this->FindJob(end.task.job);
     if (job && !ended.lasting) {
-      JobStory& story = job->story;
+      JobTimings& story = job->timings;
       story.longest_run = std::max(story.longest_run, now - ended.since);
     }
     if (job && end.reason == RunEndReason::kSucceeded && !ended.adopted &&
         !ended.lasting) {
-      const jobs::Step& step = StepOf(*job, PlaceOf(end.task));
+      const jobs::Step& step = StepOf(*job, PositionOf(end.task));
       this->run_times.Learn(step.image.empty() ? job->queue.name : step.image,
                             now - ended.since);
     }
@@ -71,7 +71,7 @@
     this->HoldEnd(worker, end);
     return;
   }
-  if (!Exists(*job, PlaceOf(end.task)))
+  if (!HasTask(*job, PositionOf(end.task)))
     return;
   this->TakeFate(*job, worker.info.life, end, now);
   // 3. It is acknowledged once the job's row holds it.
@@ -83,8 +83,8 @@
                          const jobs::WorkerLife& worker,
                          const ReportedEnd& end,
                          base::Micros now) {
-  const TaskPlace place = PlaceOf(end.task);
-  job.begun = true;
+  const TaskPosition place = PositionOf(end.task);
+  job.has_started = true;
   Task& task = TaskAt(job, place);
   if (!end.checkpoint.empty())
     task.checkpoint = end.checkpoint;
@@ -103,10 +103,12 @@
   this->TaskLost(end.task, end.run, now);
 }
 
-void Scheduler::TaskDone(Job& job, const TaskPlace& place, base::Micros now) {
+void Scheduler::TaskDone(Job& job,
+                         const TaskPosition& place,
+                         base::Micros now) {
   const jobs::StepKey key{.occurrence = place.occurrence, .step = place.step};
   const jobs::Step& step = StepOf(job, place);
-  StepRuns& runs = StepAt(job, place);
+  StepState& runs = StepAt(job, place);
   // One such end of a gang's member stands for all.
   const int first = step.gang ? 0 : place.index;
   const int last =
@@ -120,7 +122,7 @@
     // An earlier run, beyond a cut, was done while another had begun.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
-      const TaskPlace member{
+      const TaskPosition member{
           .occurrence = place.occurrence, .step = place.step, .index = i};
       this->Stop(other->second, IdOf(job, member), now);
       if (other->second.runs.contains(IdOf(job, member)))
@@ -128,20 +130,20 @@
                                                 .run = task.run};
     }
     task.state = TaskState::kDone;
-    ++runs.done;
+    ++runs.tasks_done;
     job.progress.MarkDone(key, i);
   }
   if (!is_news || job.finished())
     return;
   this->Changed(job);
-  if (AllDone(job))
+  if (AreAllTasksDone(job))
     this->Finish(job, jobs::JobState::kCompleted, now);
   else
     this->Release(job, now);
 }
 
 void Scheduler::TaskFailed(Job& job,
-                           const TaskPlace& place,
+                           const TaskPosition& place,
                            int run,
                            const jobs::WorkerLife& worker,
                            base::Micros now) {
@@ -169,9 +171,9 @@
 
 void Scheduler::TaskLost(const jobs::TaskId& id, int run, base::Micros now) {
   Job* job = this->FindJob(id.job);
-  if (!job || !Exists(*job, PlaceOf(id)))
+  if (!job || !HasTask(*job, PositionOf(id)))
     return;
-  const TaskPlace place = PlaceOf(id);
+  const TaskPosition place = PositionOf(id);
   const auto stopping = job->progress.stopping.find(KeyOf(place));
   if (stopping != job->progress.stopping.end() && stopping->second.run == run) {
     job->progress.stopping.erase(stopping);
@@ -181,8 +183,8 @@
   if (task.state != TaskState::kPlaced || task.run != run)
     return;
   task.worker = {};
-  task.at_work = false;
-  ++job->story.lost_runs;
+  task.is_serving = false;
+  ++job->timings.lost_runs;
   if (job->finished()) {
     task.state = TaskState::kBlocked;
     return;
@@ -194,7 +196,7 @@
     return;
   }
   // A gang is placed again as a whole, once no member is anywhere.
-  StepRuns& runs = StepAt(*job, place);
+  StepState& runs = StepAt(*job, place);
   bool any_placed = false;
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
     if (runs.tasks[i].state != TaskState::kPlaced)
@@ -238,7 +240,7 @@
     const Job* job = this->FindJob(id.job);
     const bool unseen = run.progressed == base::Micros::zero();
     if (run.state != RunState::kRunning || unseen || run.pace < 100 || !job ||
-        !Exists(*job, PlaceOf(id)) || StepOf(*job, PlaceOf(id)).gang)
+        !HasTask(*job, PositionOf(id)) || StepOf(*job, PositionOf(id)).gang)
       continue;
     if (run.percent < 100 && now - run.progressed > kStallTime)
       stalled.push_back(id);
@@ -260,7 +262,7 @@
                            const jobs::TaskId& id,
                            const Run& run,
                            base::Micros now) const {
-  const jobs::Step& step = StepOf(job, PlaceOf(id));
+  const jobs::Step& step = StepOf(job, PositionOf(id));
   if (step.lasting || run.adopted || run.percent <= 0 || run.percent >= 100)
     return false;
   const base::Micros expected = this->run_times.Expect(
@@ -277,10 +279,10 @@
                         const char* why,
                         base::Micros now) {
   Job* job = this->FindJob(id.job);
-  Task& task = TaskAt(*job, PlaceOf(id));
-  if (task.moved >= kMostMoves)
+  Task& task = TaskAt(*job, PositionOf(id));
+  if (task.migrations >= kMostMoves)
     return;
-  ++task.moved;
+  ++task.migrations;
   RememberFailure(task, worker.info.life);
   this->actions.emplace_back(LogNote{
       id.job,
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -36,7 +36,8 @@
 // Is it work that boxes could take up, or have?
 bool CountsAsDemand(const Task& task) {
   return task.state == TaskState::kPlaced ||
-         (task.state == TaskState::kReady && IsServedByBoxes(task.waits_for));
+         (task.state == TaskState::kReady &&
+          MoreBoxesMayHelp(task.wait_reason));
 }
 
 }  // namespace
@@ -117,7 +118,7 @@
                         base::Micros now) const {
   const Task& waiting = TaskAt(*task.job, task.place);
   return waiting.state == TaskState::kReady &&
-         waiting.waits_for == WaitReason::kRoom &&
+         waiting.wait_reason == WaitReason::kCapacity &&
          now - waiting.ready_since > kStuck &&
          (task.prospect == Prospect::kLasting || has_cores);
 }
@@ -214,13 +215,13 @@
 // work, or fewer are away than its limit allows.
 bool Scheduler::MayInterrupt(const jobs::TaskId& id, base::Micros now) const {
   const auto job = this->jobs.find(id.job);
-  if (job == this->jobs.end() || !Exists(job->second, PlaceOf(id)))
+  if (job == this->jobs.end() || !HasTask(job->second, PositionOf(id)))
     return true;
-  const jobs::Step& step = StepOf(job->second, PlaceOf(id));
+  const jobs::Step& step = StepOf(job->second, PositionOf(id));
   if (step.may_be_away <= 0)
     return true;
   std::int64_t away = 0;
-  const StepRuns& runs = StepAt(job->second, PlaceOf(id));
+  const StepState& runs = StepAt(job->second, PositionOf(id));
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
     const bool itself = static_cast<int>(i) == id.index;
     away += !itself && !this->IsSeenAtWork(runs.tasks[i], now);
@@ -231,7 +232,7 @@
 // At work by a recent listing: its worker may have died since an older one.
 bool Scheduler::IsSeenAtWork(const Task& task, base::Micros now) const {
   const auto worker = this->workers.find(task.worker);
-  return task.at_work && worker != this->workers.end() &&
+  return task.is_serving && worker != this->workers.end() &&
          worker->second.failed_calls == 0 &&
          now - worker->second.last_answer < kSeenLately;
 }
@@ -239,11 +240,11 @@
 // A task is not interrupted for nothing: another worker must have room for it.
 bool Scheduler::HasPlaceElsewhere(const jobs::TaskId& id, base::Micros now) {
   const Job* job = this->FindJob(id.job);
-  if (!job || !Exists(*job, PlaceOf(id)))
+  if (!job || !HasTask(*job, PositionOf(id)))
     return true;
-  const jobs::Resources takes = TakenBy(StepOf(*job, PlaceOf(id)));
-  const StepRuns& runs = StepAt(*job, PlaceOf(id));
-  const std::int64_t most = StepOf(*job, PlaceOf(id)).most_per_worker;
+  const jobs::Resources takes = ReservedBy(StepOf(*job, PositionOf(id)));
+  const StepState& runs = StepAt(*job, PositionOf(id));
+  const std::int64_t most = StepOf(*job, PositionOf(id)).most_per_worker;
   return std::any_of(
       this->workers.begin(), this->workers.end(), [&](const auto& entry) {
         const Worker& worker = entry.second;
@@ -269,8 +270,8 @@
         continue;
       // It is away from here on, before its end is listed.
       Job* job = this->FindJob(task.job);
-      if (job && Exists(*job, PlaceOf(task)))
-        TaskAt(*job, PlaceOf(task)).at_work = false;
+      if (job && HasTask(*job, PositionOf(task)))
+        TaskAt(*job, PositionOf(task)).is_serving = false;
       this->Stop(worker, task, now);
     }
   }
--- a/scheduler/inheritance.cc
+++ b/scheduler/inheritance.cc
@@ -10,19 +10,19 @@
 // What an earlier owner placed stays placed until its worker has been listed,
 // or its lease is over.
 void Scheduler::InheritRuns(Job& job, base::Micros now) {
-  std::vector<std::pair<TaskPlace, jobs::Placement>> lost;
+  std::vector<std::pair<TaskPosition, jobs::Placement>> lost;
   for (const auto& [key, placement] : job.progress.placed) {
-    const TaskPlace place{.occurrence = key.step.occurrence,
-                          .step = key.step.step,
-                          .index = key.index};
-    if (!Exists(job, place))
+    const TaskPosition place{.occurrence = key.step.occurrence,
+                             .step = key.step.step,
+                             .index = key.index};
+    if (!HasTask(job, place))
       continue;
     Task& task = TaskAt(job, place);
     if (EpochOf(placement.run) < this->limits.epoch)
       task.inherited_run = std::max(task.inherited_run, placement.run);
     if (task.state == TaskState::kDone || task.state == TaskState::kPlaced)
       continue;
-    task.newest_run = std::max(task.newest_run, placement.run);
+    task.latest_run = std::max(task.latest_run, placement.run);
     Worker* worker = this->HolderOf(placement.worker);
     // A worker that no owner has in its list has no lease any more.
     if (!worker) {
@@ -43,7 +43,7 @@
 }
 
 void Scheduler::InheritRun(Job& job,
-                           const TaskPlace& place,
+                           const TaskPosition& place,
                            int number,
                            Worker& worker,
                            base::Micros now) {
@@ -58,15 +58,15 @@
 void Scheduler::InheritStops(Job& job, base::Micros now) {
   const auto stopping = job.progress.stopping;
   for (const auto& [key, placement] : stopping) {
-    const TaskPlace place{.occurrence = key.step.occurrence,
-                          .step = key.step.step,
-                          .index = key.index};
+    const TaskPosition place{.occurrence = key.step.occurrence,
+                             .step = key.step.step,
+                             .index = key.index};
     Worker* worker = this->HolderOf(placement.worker);
-    const bool is_known =
-        Exists(job, place) && worker && worker->runs.contains(IdOf(job, place));
+    const bool is_known = HasTask(job, place) && worker &&
+                          worker->runs.contains(IdOf(job, place));
     if (is_known)
       continue;
-    const bool may_run = Exists(job, place) && worker && !worker->listed;
+    const bool may_run = HasTask(job, place) && worker && !worker->listed;
     if (may_run) {
       this->InheritRun(job, place, placement.run, *worker, now);
     } else {
--- a/scheduler/job.cc
+++ b/scheduler/job.cc
@@ -7,26 +7,26 @@
 
 namespace {
 
-StepRuns MakeStep(const jobs::Step& step,
-                  const jobs::Progress& progress,
-                  const jobs::StepKey& key) {
-  StepRuns runs;
+StepState MakeStep(const jobs::Step& step,
+                   const jobs::Progress& progress,
+                   const jobs::StepKey& key) {
+  StepState runs;
   runs.tasks.resize(static_cast<std::size_t>(step.tasks));
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
     const int index = static_cast<int>(i);
     if (progress.IsDone(key, index)) {
       runs.tasks[i].state = TaskState::kDone;
-      ++runs.done;
+      ++runs.tasks_done;
     }
     const auto failed = progress.failures.find({.step = key, .index = index});
     if (failed != progress.failures.end())
-      runs.tasks[i].newest_run = *failed->second.rbegin();
+      runs.tasks[i].latest_run = *failed->second.rbegin();
   }
   return runs;
 }
 
-bool IsStepDone(const StepRuns& step) {
-  return step.done == static_cast<int>(step.tasks.size());
+bool IsStepDone(const StepState& step) {
+  return step.tasks_done == static_cast<int>(step.tasks.size());
 }
 
 bool MayStart(const jobs::Step& step, const Occurrence& occurrence) {
@@ -50,9 +50,10 @@
   job.queue = std::move(queue);
   job.spec = std::move(spec);
   job.progress = std::move(progress);
-  job.accepted = accepted;
-  job.begun = job.progress.state != jobs::JobState::kQueued ||
-              !job.progress.done.empty() || !job.progress.failures.empty();
+  job.accepted_at = accepted;
+  job.has_started = job.progress.state != jobs::JobState::kQueued ||
+                    !job.progress.done.empty() ||
+                    !job.progress.failures.empty();
   const std::int64_t count = job.spec.occurrences();
   for (std::int64_t k = 0; k < count; ++k) {
     Occurrence occurrence;
@@ -73,24 +74,24 @@
   return job;
 }
 
-jobs::TaskKey KeyOf(const TaskPlace& place) {
+jobs::TaskKey KeyOf(const TaskPosition& place) {
   return {.step = {.occurrence = place.occurrence, .step = place.step},
           .index = place.index};
 }
 
-TaskPlace PlaceOf(const jobs::TaskId& task) {
+TaskPosition PositionOf(const jobs::TaskId& task) {
   return {
       .occurrence = task.occurrence, .step = task.step, .index = task.index};
 }
 
-jobs::TaskId IdOf(const Job& job, const TaskPlace& place) {
+jobs::TaskId IdOf(const Job& job, const TaskPosition& place) {
   return {.job = job.id,
           .occurrence = place.occurrence,
           .step = place.step,
           .index = place.index};
 }
 
-bool Exists(const Job& job, const TaskPlace& place) {
+bool HasTask(const Job& job, const TaskPosition& place) {
   const auto k = static_cast<std::size_t>(place.occurrence);
   const auto s = static_cast<std::size_t>(place.step);
   const auto i = static_cast<std::size_t>(place.index);
@@ -99,25 +100,25 @@
          i < job.occurrences[k].steps[s].tasks.size();
 }
 
-const StepRuns& StepAt(const Job& job, const TaskPlace& place) {
+const StepState& StepAt(const Job& job, const TaskPosition& place) {
   return job.occurrences[static_cast<std::size_t>(place.occurrence)]
       .steps[static_cast<std::size_t>(place.step)];
 }
 
-StepRuns& StepAt(Job& job, const TaskPlace& place) {
+StepState& StepAt(Job& job, const TaskPosition& place) {
   return job.occurrences[static_cast<std::size_t>(place.occurrence)]
       .steps[static_cast<std::size_t>(place.step)];
 }
 
-Task& TaskAt(Job& job, const TaskPlace& place) {
+Task& TaskAt(Job& job, const TaskPosition& place) {
   return StepAt(job, place).tasks[static_cast<std::size_t>(place.index)];
 }
 
-const jobs::Step& StepOf(const Job& job, const TaskPlace& place) {
+const jobs::Step& StepOf(const Job& job, const TaskPosition& place) {
   return job.spec.steps[static_cast<std::size_t>(place.step)];
 }
 
-jobs::Resources TakenBy(const jobs::Step& step) {
+jobs::Resources ReservedBy(const jobs::Step& step) {
   jobs::Resources takes = step.each;
   // What fills uses only processor time that is left over.
   if (step.fills)
@@ -125,8 +126,8 @@
   return takes;
 }
 
-std::vector<TaskPlace> ReleaseSteps(Job& job, base::Micros now) {
-  std::vector<TaskPlace> ready;
+std::vector<TaskPosition> ReleaseSteps(Job& job, base::Micros now) {
+  std::vector<TaskPosition> ready;
   if (job.finished() || job.cancelled)
     return ready;
   for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
@@ -134,7 +135,7 @@
     if (job.spec.repeats > 0 && occurrence.due > now)
       break;
     for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
-      StepRuns& runs = occurrence.steps[s];
+      StepState& runs = occurrence.steps[s];
       const jobs::Step& step = job.spec.steps[s];
       if (runs.released || !MayStart(step, occurrence))
         continue;
@@ -156,7 +157,7 @@
   return ready;
 }
 
-bool IsOutOfAttempts(const Job& job) {
+bool HasExhaustedAttempts(const Job& job) {
   const jobs::Progress& progress = job.progress;
   return std::any_of(progress.failures.begin(), progress.failures.end(),
                      [&](const auto& entry) {
@@ -166,10 +167,10 @@
                      });
 }
 
-int GivenUpTasks(const Job& job) {
+int CountGivenUpTasks(const Job& job) {
   int count = 0;
   for (const Occurrence& occurrence : job.occurrences) {
-    for (const StepRuns& step : occurrence.steps) {
+    for (const StepState& step : occurrence.steps) {
       for (const Task& task : step.tasks)
         count += task.state == TaskState::kGivenUp;
     }
@@ -177,9 +178,9 @@
   return count;
 }
 
-bool AllDone(const Job& job) {
+bool AreAllTasksDone(const Job& job) {
   for (const Occurrence& occurrence : job.occurrences) {
-    for (const StepRuns& step : occurrence.steps) {
+    for (const StepState& step : occurrence.steps) {
       if (!IsStepDone(step))
         return false;
     }
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -132,16 +132,16 @@
   run.load = listed.load;
   this->WatchSuspect(worker, listed.task, run);
   Job* job = this->FindJob(listed.task.job);
-  if (!job || !Exists(*job, PlaceOf(listed.task)))
+  if (!job || !HasTask(*job, PositionOf(listed.task)))
     return;
-  job->begun = true;
-  Task& task = TaskAt(*job, PlaceOf(listed.task));
+  job->has_started = true;
+  Task& task = TaskAt(*job, PositionOf(listed.task));
   if (!listed.checkpoint.empty())
     task.checkpoint = listed.checkpoint;
   // One that is being stopped is away, whatever an older listing says.
-  task.at_work = listed.percent >= 100 && run.state == RunState::kRunning;
+  task.is_serving = listed.percent >= 100 && run.state == RunState::kRunning;
   // An earlier owner's run of a job, or a task, that was over by then.
-  if (job->end_stands() || task.state == TaskState::kDone)
+  if (job->end_is_saved() || task.state == TaskState::kDone)
     this->Stop(worker, listed.task, now);
 }
 
@@ -163,9 +163,9 @@
     this->HoldRun(worker, listed, now);
     return;
   }
-  const bool known = Exists(*job, PlaceOf(listed.task));
+  const bool known = HasTask(*job, PositionOf(listed.task));
   if (known) {
-    const jobs::Step& step = StepOf(*job, PlaceOf(listed.task));
+    const jobs::Step& step = StepOf(*job, PositionOf(listed.task));
     run.takes = step.each;
     run.counts = step.each;
     run.counted = &this->quotas.UseOf(job->organisation);
@@ -183,14 +183,14 @@
   worker.lease_end =
       std::max(worker.lease_end, now + this->limits.longest_grant);
   if (known) {
-    Task& task = TaskAt(*job, PlaceOf(listed.task));
+    Task& task = TaskAt(*job, PositionOf(listed.task));
     // What runs goes before what is only planned.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
       const auto plan = other->second.runs.find(listed.task);
       if (plan != other->second.runs.end() &&
           plan->second.state == RunState::kPlanned)
-        this->VoidPlan(*job, PlaceOf(listed.task));
+        this->VoidPlan(*job, PositionOf(listed.task));
     }
     const bool wanted =
         !job->finished() &&
@@ -200,17 +200,17 @@
       task.state = TaskState::kPlaced;
       task.worker = worker.info.life;
       task.run = listed.run;
-      task.newest_run = std::max(task.newest_run, listed.run);
-      task.at_work = listed.percent >= 100;
+      task.latest_run = std::max(task.latest_run, listed.run);
+      task.is_serving = listed.percent >= 100;
       if (!listed.checkpoint.empty())
         task.checkpoint = listed.checkpoint;
-      job->begun = true;
-      job->progress.placed[KeyOf(PlaceOf(listed.task))] = {
+      job->has_started = true;
+      job->progress.placed[KeyOf(PositionOf(listed.task))] = {
           .worker = worker.info.life, .run = task.run};
       this->Changed(*job);
       return;
     }
-    if (job->unsaved_end > 0)
+    if (job->unsaved_failure > 0)
       return;
   }
   this->actions.emplace_back(
@@ -250,8 +250,8 @@
   for (const auto& [task, run] : over) {
     RemoveRun(worker, task);
     Job* job = this->FindJob(task.job);
-    if (run.possible_loss && job && Exists(*job, PlaceOf(task)))
-      this->NoteLoss(*job, PlaceOf(task), run.possible_loss->life,
+    if (run.possible_loss && job && HasTask(*job, PositionOf(task)))
+      this->NoteLoss(*job, PositionOf(task), run.possible_loss->life,
                      run.possible_loss->loss, now);
     this->TaskLost(task, run.number, now);
   }
@@ -322,7 +322,7 @@
     this->NoteClock(worker, order, run, clock_ms, now);
     worker.unanswered_starts = 0;
     if (job)
-      job->begun = true;
+      job->has_started = true;
     if (run.state == RunState::kStarting)
       run.state = RunState::kRunning;
     return;
@@ -339,15 +339,15 @@
   }
   // It has not been carried out: the room is free, the task to be placed.
   RemoveRun(worker, order.task);
-  if (job && Exists(*job, PlaceOf(order.task)))
-    this->TakeBackLastTry(*job, PlaceOf(order.task), order.run);
+  if (job && HasTask(*job, PositionOf(order.task)))
+    this->TakeBackLastTry(*job, PositionOf(order.task), order.run);
   if (outcome == CommandOutcome::kNotSent)
     ++worker.failed_calls;
   if (outcome == CommandOutcome::kBusy)
     this->JudgeWorker(worker, true, now);
   if (outcome == CommandOutcome::kNoTicket && job &&
-      Exists(*job, PlaceOf(order.task)))
-    StepAt(*job, PlaceOf(order.task)).advice.tickets.erase(order.worker);
+      HasTask(*job, PositionOf(order.task)))
+    StepAt(*job, PositionOf(order.task)).advice.tickets.erase(order.worker);
   if (outcome == CommandOutcome::kNoCapacity ||
       outcome == CommandOutcome::kLeaseExpired)
     worker.quarantined_until =
@@ -476,8 +476,8 @@
       continue;
     for (const auto& [task, run] : worker.runs) {
       Job* job = this->FindJob(task.job);
-      if (job && Exists(*job, PlaceOf(task)))
-        TaskAt(*job, PlaceOf(task)).lease_ended = now;
+      if (job && HasTask(*job, PositionOf(task)))
+        TaskAt(*job, PositionOf(task)).lease_expired_at = now;
     }
     worker.runs_presumed_over = worker.runs_presumed_over || !worker.idle();
     this->DropRuns(worker, LossReason::kLeaseExpired, now);
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -58,7 +58,7 @@
           .gpus = step.each.gpus * step.tasks};
 }
 
-std::string TicketFor(const StepRuns& runs, const jobs::WorkerLife& worker) {
+std::string TicketFor(const StepState& runs, const jobs::WorkerLife& worker) {
   const auto found = runs.advice.tickets.find(worker);
   return found == runs.advice.tickets.end() ? std::string() : found->second;
 }
@@ -81,7 +81,7 @@
 class StepSpread {
  public:
   StepSpread(const jobs::Step& step,
-             const StepRuns& runs,
+             const StepState& runs,
              const std::map<jobs::WorkerLife, Worker>& workers) {
     if (!step.lasting && step.most_per_worker == 0)
       return;
@@ -117,7 +117,7 @@
 // A worker was lost under the task on this box: it may have been the box's own
 // fault, which another box tells.
 bool WasLostOn(const jobs::Progress& progress,
-               const TaskPlace& place,
+               const TaskPosition& place,
                const std::string& box) {
   if (progress.losses.empty())
     return false;
@@ -165,29 +165,29 @@
 // A later owner may have renewed a lease that seems to be over here, unless the
 // store has confirmed this owner since.
 bool Scheduler::MayHaveBeenRenewed(const Job& job,
-                                   const TaskPlace& place) const {
-  const StepRuns& runs = StepAt(job, place);
+                                   const TaskPosition& place) const {
+  const StepState& runs = StepAt(job, place);
   const bool gang = StepOf(job, place).gang;
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
     const bool counts = gang || static_cast<int>(i) == place.index;
-    if (counts && runs.tasks[i].lease_ended > this->confirmed)
+    if (counts && runs.tasks[i].lease_expired_at > this->confirmed)
       return true;
   }
   return false;
 }
 
-int Scheduler::NextRun(const Job& job, const TaskPlace& place) const {
-  const StepRuns& runs = StepAt(job, place);
+int Scheduler::NextRun(const Job& job, const TaskPosition& place) const {
+  const StepState& runs = StepAt(job, place);
   int newest = 0;
   // The members of a gang share the number.
   if (StepOf(job, place).gang) {
     for (const Task& task : runs.tasks)
-      newest = std::max(newest, task.newest_run);
+      newest = std::max(newest, task.latest_run);
   } else {
-    newest = runs.tasks[static_cast<std::size_t>(place.index)].newest_run;
+    newest = runs.tasks[static_cast<std::size_t>(place.index)].latest_run;
   }
   const auto first =
-      static_cast<int>((this->limits.epoch - 1) * kRunsAnEpoch) + 1;
+      static_cast<int>((this->limits.epoch - 1) * kRunsPerEpoch) + 1;
   return std::max(newest + 1, first);
 }
 
@@ -231,7 +231,7 @@
   const auto step = std::make_pair(&job, task.place.step);
   const auto nowhere = turn.nowhere.find(step);
   if (nowhere != turn.nowhere.end()) {
-    TaskAt(job, task.place).waits_for = nowhere->second;
+    TaskAt(job, task.place).wait_reason = nowhere->second;
     return Tried::kStays;
   }
   const Suspicion suspicion = this->SuspicionOfStart(job, task.place, now);
@@ -243,7 +243,7 @@
       this->PlaceOne(task, suspicion, turn.candidates, now);
   if (!reason)
     return Tried::kPlaced;
-  TaskAt(job, task.place).waits_for = *reason;
+  TaskAt(job, task.place).wait_reason = *reason;
   // What waits for its organisation's quota, or for a worker that runs nothing,
   // holds up nobody else: neither of its step nor of the pool.
   const bool is_its_own =
@@ -277,8 +277,8 @@
   if (choices.empty() && suspicion == Suspicion::kProbe)
     return WaitReason::kSuspect;
   if (choices.empty())
-    return this->SuitsSomeWorker(step) ? WaitReason::kRoom
-                                       : WaitReason::kWorker;
+    return this->SuitsSomeWorker(step) ? WaitReason::kCapacity
+                                       : WaitReason::kNoSuitableWorker;
   const int run = this->NextRun(job, ready_task.place);
   for (const Choice& choice : choices)
     this->Plan(job, choice, run, now);
@@ -291,7 +291,7 @@
   const bool has_spares =
       std::any_of(this->config.services.begin(), this->config.services.end(),
                   [](const jobs::Service& service) { return service.spare; });
-  const jobs::Resources takes = TakenBy(step);
+  const jobs::Resources takes = ReservedBy(step);
   return has_spares || std::any_of(this->workers.begin(), this->workers.end(),
                                    [&](const auto& entry) {
                                      const WorkerInfo& info = entry.second.info;
@@ -304,12 +304,12 @@
 // any member, fits nowhere.
 std::vector<Scheduler::Choice> Scheduler::ChooseFor(
     const Job& job,
-    const TaskPlace& place,
+    const TaskPosition& place,
     const std::vector<Worker*>& candidates,
     base::Micros now) const {
   const jobs::Step& step = StepOf(job, place);
-  const StepRuns& runs = StepAt(job, place);
-  const jobs::Resources takes = TakenBy(step);
+  const StepState& runs = StepAt(job, place);
+  const jobs::Resources takes = ReservedBy(step);
   const StepSpread spread(step, runs, this->workers);
   std::vector<Choice> choices;
   std::map<const Worker*, GangShare> given;  // to earlier members of the gang
@@ -320,7 +320,7 @@
     const Task& task = runs.tasks[static_cast<std::size_t>(i)];
     if (task.state != TaskState::kReady)
       continue;
-    const TaskPlace member{
+    const TaskPosition member{
         .occurrence = place.occurrence, .step = place.step, .index = i};
     const Suspicion suspicion = this->SuspicionOf(job, member, now);
     const bool alone = suspicion == Suspicion::kProbe;
@@ -390,7 +390,7 @@
                      int number,
                      RunState state) {
   Run run{.number = number, .state = state};
-  run.takes = TakenBy(step);
+  run.takes = ReservedBy(step);
   run.counts = step.each;
   run.counted = &this->quotas.UseOf(job.organisation);
   run.image = step.image;
@@ -407,16 +407,16 @@
   const jobs::Step& step = StepOf(job, choice.place);
   Task& task = TaskAt(job, choice.place);
   Worker& worker = *choice.worker;
-  JobStory& story = job.story;
+  JobTimings& story = job.timings;
   if (!story.first_placed)
-    story.first_placed = now - job.accepted;
+    story.first_placed = now - job.accepted_at;
   story.longest_wait = std::max(story.longest_wait, now - task.ready_since);
   ++story.runs;
   task.state = TaskState::kPlaced;
   task.worker = worker.info.life;
   task.run = run_number;
-  task.newest_run = run_number;
-  task.at_work = false;
+  task.latest_run = run_number;
+  task.is_serving = false;
   Run run = this->RunOf(job, step, run_number, RunState::kPlanned);
   run.since = now;
   run.suspicion = this->SuspicionOf(job, choice.place, now);
--- a/scheduler/pool_state.cc
+++ b/scheduler/pool_state.cc
@@ -73,14 +73,14 @@
       ++state.waiting;
       state.waiting_cores += static_cast<double>(step.each.cpu_millis) / 1000.0;
       state.oldest = std::max(state.oldest, waited);
-      PoolState::Waiting& alike = state.waiting_for[waiting.waits_for];
+      PoolState::Waiting& alike = state.waiting_for[waiting.wait_reason];
       ++alike.tasks;
       alike.oldest = std::max(alike.oldest, waited);
     }
   }
   for (const auto& [id, job] : this->jobs) {
     if (!job.finished() && !job.progress.losses.empty())
-      states[job.queue.service].given_up += GivenUpTasks(job);
+      states[job.queue.service].given_up += CountGivenUpTasks(job);
   }
   std::vector<PoolState> list;
   for (auto& [name, state] : states) {
--- a/scheduler/ready_tasks.h
+++ b/scheduler/ready_tasks.h
@@ -33,7 +33,7 @@
   base::Micros of_use{};
   std::uint64_t number = 0;  // rises with each one
   Job* job = nullptr;        // jobs are never dropped
-  TaskPlace place;
+  TaskPosition place;
 
   // The end of the prospect that it has now.
   base::Micros latest() const {
--- a/scheduler/ready_tasks_test.cc
+++ b/scheduler/ready_tasks_test.cc
@@ -84,7 +84,7 @@
   void HandIn() {
     Job& job = this->jobs.emplace_back();
     job.id = std::to_string(this->jobs.size());
-    job.accepted = this->now;
+    job.accepted_at = this->now;
     job.occurrences.resize(1);
     job.occurrences[0].steps.resize(1);
     job.occurrences[0].steps[0].tasks.resize(kTasks);
@@ -100,8 +100,8 @@
   // A task that failed waits anew, as the rest of a job that has begun.
   void FailsOnce(Job& job) {
     this->tasks.Insert({.prospect = Prospect::kBegun,
-                        .in_time = job.accepted + kInTime - kMeanRun,
-                        .of_use = job.accepted + 3 * kInTime - kMeanRun,
+                        .in_time = job.accepted_at + kInTime - kMeanRun,
+                        .of_use = job.accepted_at + 3 * kInTime - kMeanRun,
                         .number = ++this->number,
                         .job = &job,
                         .place = {}});
@@ -117,11 +117,11 @@
         this->FailsOnce(job);
         continue;
       }
-      StepRuns& step = job.occurrences[0].steps[0];
-      if (++step.done < kTasks)
+      StepState& step = job.occurrences[0].steps[0];
+      if (++step.tasks_done < kTasks)
         continue;
-      this->in_time += ended - job.accepted <= kInTime;
-      this->of_use += ended - job.accepted <= 3 * kInTime;
+      this->in_time += ended - job.accepted_at <= kInTime;
+      this->of_use += ended - job.accepted_at <= 3 * kInTime;
     }
     this->tasks.Try(this->now, [this](const ReadyTask& task) {
       if (this->running.size() == kSlots)
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -72,7 +72,7 @@
     this->MeetJob(job, now);
     return;
   }
-  job.beyond_due = !this->due_shares.Take(job.organisation, now);
+  job.exceeds_share = !this->due_shares.Take(job.organisation, now);
   if (job.spec.repeats > 0)
     this->timed.insert(job.id);
   double core_seconds = 0.0;
@@ -99,7 +99,7 @@
 }
 
 void Scheduler::Release(Job& job, base::Micros now) {
-  for (const TaskPlace& place : ReleaseSteps(job, now))
+  for (const TaskPosition& place : ReleaseSteps(job, now))
     this->Enqueue(job, place, now);
 }
 
@@ -153,7 +153,7 @@
 // Of use a job is for three times its objective; the chain is
 // made of mean times here, while a step ends with its slowest task, so that
 // four times the estimate leave nothing out that is of use.
-void Scheduler::Enqueue(Job& job, const TaskPlace& place, base::Micros now) {
+void Scheduler::Enqueue(Job& job, const TaskPosition& place, base::Micros now) {
   constexpr int kOfUseTimes = 4;
   if (!job.progress.losses.empty())
     this->GiveUpCauses(job, now);
@@ -161,21 +161,21 @@
   if (job.finished() || task.state == TaskState::kGivenUp)
     return;
   task.ready_since = now;
-  task.waits_for = WaitReason::kRoom;
+  task.wait_reason = WaitReason::kCapacity;
   const bool repeats = job.spec.repeats > 0;
   const auto k = static_cast<std::size_t>(place.occurrence);
-  const base::Micros since = repeats ? job.occurrences[k].due : job.accepted;
+  const base::Micros since = repeats ? job.occurrences[k].due : job.accepted_at;
   const base::Micros objective = this->ObjectiveOf(job);
   const base::Micros left =
       this->LongestChain(job, static_cast<std::size_t>(place.step));
   const bool lasting = StepOf(job, place).lasting;
-  const bool begun = job.begun || place.step > 0;
+  const bool begun = job.has_started || place.step > 0;
   this->ready[job.queue.service].Insert(
       {.priority = job.queue.priority,
-       .prospect = lasting          ? Prospect::kLasting
-                   : begun          ? Prospect::kBegun
-                   : job.beyond_due ? Prospect::kBeyond
-                                    : Prospect::kWaiting,
+       .prospect = lasting             ? Prospect::kLasting
+                   : begun             ? Prospect::kBegun
+                   : job.exceeds_share ? Prospect::kBeyond
+                                       : Prospect::kWaiting,
        .in_time = lasting ? now : since + objective - left,
        .of_use = since + kOfUseTimes * objective - left,
        .number = ++this->ready_number,
@@ -195,21 +195,21 @@
   // A later owner that does not know of the failure takes a task whose run is
   // being stopped for free, and starts it beside that run.
   if (state == jobs::JobState::kFailed)
-    job.unsaved_end = job.change;
+    job.unsaved_failure = job.change;
   else
     this->StopAll(job, now);
   this->actions.emplace_back(JobFinished{.job = job.id,
                                          .queue = job.queue.name,
                                          .state = state,
-                                         .duration = now - job.accepted,
+                                         .duration = now - job.accepted_at,
                                          .objective = this->ObjectiveOf(job),
-                                         .timings = job.story});
+                                         .timings = job.timings});
 }
 
 void Scheduler::StopAll(Job& job, base::Micros now) {
   for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
     for (std::size_t s = 0; s < job.occurrences[k].steps.size(); ++s) {
-      StepRuns& runs = job.occurrences[k].steps[s];
+      StepState& runs = job.occurrences[k].steps[s];
       for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
         if (runs.tasks[i].state != TaskState::kPlaced)
           continue;
@@ -236,14 +236,14 @@
   this->save_now = false;
   for (auto it = this->to_save.begin(); it != this->to_save.end();) {
     Job* job = this->FindJob(*it);
-    if (job && job->saving) {
+    if (job && job->save_in_flight) {
       ++it;
       continue;
     }
     it = this->to_save.erase(it);
     if (!job)
       continue;
-    job->saving = true;
+    job->save_in_flight = true;
     this->actions.emplace_back(
         SaveProgress{.job = job->id,
                      .text = jobs::EncodeProgress(job->progress),
@@ -257,14 +257,15 @@
   Job* job = this->FindJob(result.job);
   if (!job)
     return;
-  job->saving = false;
+  job->save_in_flight = false;
   switch (result.outcome) {
     case SaveOutcome::kSaved:
       job->version = result.version;
       job->saved_change = std::max(job->saved_change, result.change);
       this->StartSaved(*job, now);
-      if (job->unsaved_end > 0 && job->saved_change >= job->unsaved_end) {
-        job->unsaved_end = 0;
+      if (job->unsaved_failure > 0 &&
+          job->saved_change >= job->unsaved_failure) {
+        job->unsaved_failure = 0;
         this->StopAll(*job, now);
       }
       break;
@@ -280,25 +281,25 @@
       this->next_save = now + kSavePeriod;
       break;
     case SaveOutcome::kRefused:
-      job->refused_change = result.change;
+      job->rejected_change = result.change;
       this->actions.emplace_back(
           LogNote{job->id, "the store does not take its progress"});
       break;
   }
   // What was refused is tried again once it has changed.
-  if (job->change != job->saved_change && job->change != job->refused_change)
+  if (job->change != job->saved_change && job->change != job->rejected_change)
     this->to_save.insert(job->id);
 }
 
 void Scheduler::TakeStored(Job& job,
                            const jobs::Progress& stored,
                            base::Micros now) {
-  std::vector<TaskPlace> voided;
+  std::vector<TaskPosition> voided;
   for (const auto& [key, placement] : stored.placed) {
-    const TaskPlace place{.occurrence = key.step.occurrence,
-                          .step = key.step.step,
-                          .index = key.index};
-    if (!Exists(job, place))
+    const TaskPosition place{.occurrence = key.step.occurrence,
+                             .step = key.step.step,
+                             .index = key.index};
+    if (!HasTask(job, place))
       continue;
     const std::uint64_t epoch = EpochOf(placement.run);
     // A later owner has read the job and goes on with it.
@@ -317,10 +318,10 @@
   job.progress = jobs::Merge(job.progress, stored);
   for (const auto& [step, bits] : job.progress.done) {
     for (std::size_t i = 0; i < bits.size(); ++i) {
-      const TaskPlace place{.occurrence = step.occurrence,
-                            .step = step.step,
-                            .index = static_cast<int>(i)};
-      if (bits[i] && Exists(job, place) &&
+      const TaskPosition place{.occurrence = step.occurrence,
+                               .step = step.step,
+                               .index = static_cast<int>(i)};
+      if (bits[i] && HasTask(job, place) &&
           TaskAt(job, place).state != TaskState::kDone)
         this->TaskDone(job, place, now);
     }
@@ -328,13 +329,13 @@
   if (job.finished() && !was_final)
     this->StopAll(job, now);
   // With the failures that the other writer knew there may be enough.
-  if (!job.finished() && IsOutOfAttempts(job))
+  if (!job.finished() && HasExhaustedAttempts(job))
     this->Finish(job, jobs::JobState::kFailed, now);
   this->InheritLosses(job, now);
-  for (const TaskPlace& place : this->VoidSuspectPlans(job, stored, now))
+  for (const TaskPosition& place : this->VoidSuspectPlans(job, stored, now))
     voided.push_back(place);
   this->InheritRuns(job, now);
-  for (const TaskPlace& place : voided) {
+  for (const TaskPosition& place : voided) {
     if (TaskAt(job, place).state == TaskState::kReady && !job.finished())
       this->Enqueue(job, place, now);
   }
@@ -343,7 +344,7 @@
 // An earlier owner's placement came to light after this owner read the job: its
 // write was on its way. True if it voids what this owner had planned.
 bool Scheduler::TakeLatePlacement(Job& job,
-                                  const TaskPlace& place,
+                                  const TaskPosition& place,
                                   const jobs::Placement& placement) {
   Task& task = TaskAt(job, place);
   task.inherited_run = placement.run;
@@ -358,7 +359,7 @@
 }
 
 // Gives up a run whose worker has not been told.
-void Scheduler::VoidPlan(Job& job, const TaskPlace& place) {
+void Scheduler::VoidPlan(Job& job, const TaskPosition& place) {
   Task& task = TaskAt(job, place);
   std::erase_if(job.pending_starts, [&place](const PendingStart& start) {
     return start.place == place;
@@ -377,7 +378,7 @@
   for (const jobs::Queue& queue : this->config.queues)
     waiting[queue.name] = 0;
   for (const auto& [id, job] : this->jobs) {
-    if (!job.begun && !job.finished())
+    if (!job.has_started && !job.finished())
       ++waiting[job.queue.name];
   }
   return waiting;
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -187,13 +187,13 @@
 
   // A member of a step, and the worker picked for it.
   struct Choice {
-    TaskPlace place;
+    TaskPosition place;
     Worker* worker = nullptr;
   };
 
   // jobs
   Job* FindJob(const std::string& id);
-  void Enqueue(Job& job, const TaskPlace& place, base::Micros now);
+  void Enqueue(Job& job, const TaskPosition& place, base::Micros now);
   void Release(Job& job, base::Micros now);
   base::Micros LongestChain(const Job& job, std::size_t from) const;
   base::Micros ExpectedRun(const Job& job, const jobs::Step& step) const;
@@ -211,9 +211,9 @@
                 const jobs::WorkerLife& worker,
                 const ReportedEnd& end,
                 base::Micros now);
-  void TaskDone(Job& job, const TaskPlace& place, base::Micros now);
+  void TaskDone(Job& job, const TaskPosition& place, base::Micros now);
   void TaskFailed(Job& job,
-                  const TaskPlace& place,
+                  const TaskPosition& place,
                   int run,
                   const jobs::WorkerLife& worker,
                   base::Micros now);
@@ -237,27 +237,27 @@
       const std::map<jobs::TaskId, Run>& runs,
       LossReason sign);
   void NoteLoss(Job& job,
-                const TaskPlace& place,
+                const TaskPosition& place,
                 const jobs::WorkerLife& life,
                 const jobs::WorkerLoss& loss,
                 base::Micros now);
   void NoteUnseenLoss(Job& job,
-                      const TaskPlace& place,
+                      const TaskPosition& place,
                       const jobs::Placement& placement,
                       base::Micros now);
-  std::vector<TaskPlace> VoidSuspectPlans(Job& job,
-                                          const jobs::Progress& stored,
-                                          base::Micros now);
-  void NoteLastTry(Job& job, const TaskPlace& place, int run);
-  void TakeBackLastTry(Job& job, const TaskPlace& place, int run);
+  std::vector<TaskPosition> VoidSuspectPlans(Job& job,
+                                             const jobs::Progress& stored,
+                                             base::Micros now);
+  void NoteLastTry(Job& job, const TaskPosition& place, int run);
+  void TakeBackLastTry(Job& job, const TaskPosition& place, int run);
   void InheritLosses(Job& job, base::Micros now);
   void SettleLosses(const Worker& worker, base::Micros now);
   void GiveUpCauses(Job& job, base::Micros now);
   Suspicion SuspicionOf(const Job& job,
-                        const TaskPlace& place,
+                        const TaskPosition& place,
                         base::Micros now) const;
   Suspicion SuspicionOfStart(const Job& job,
-                             const TaskPlace& place,
+                             const TaskPosition& place,
                              base::Micros now) const;
   void WatchSuspect(Worker& worker, const jobs::TaskId& id, Run& run);
 
@@ -341,7 +341,7 @@
                                      base::Micros now);
   bool SuitsSomeWorker(const jobs::Step& step) const;
   std::vector<Choice> ChooseFor(const Job& job,
-                                const TaskPlace& place,
+                                const TaskPosition& place,
                                 const std::vector<Worker*>& candidates,
                                 base::Micros now) const;
   void Plan(Job& job, const Choice& choice, int run, base::Micros now);
@@ -350,24 +350,24 @@
   void StartSaved(Job& job, base::Micros now);
   void InheritRuns(Job& job, base::Micros now);
   void InheritRun(Job& job,
-                  const TaskPlace& place,
+                  const TaskPosition& place,
                   int number,
                   Worker& worker,
                   base::Micros now);
   void InheritStops(Job& job, base::Micros now);
   bool TakeLatePlacement(Job& job,
-                         const TaskPlace& place,
+                         const TaskPosition& place,
                          const jobs::Placement& placement);
-  void VoidPlan(Job& job, const TaskPlace& place);
+  void VoidPlan(Job& job, const TaskPosition& place);
   // Another owner wrote the job's row.
   void TakeStored(Job& job, const jobs::Progress& stored, base::Micros now);
   bool Usable(const Worker& worker, base::Micros now) const;
   bool HasAdvice(Job& job,
-                 const TaskPlace& place,
+                 const TaskPosition& place,
                  const std::vector<Worker*>& candidates,
                  base::Micros now);
-  bool MayHaveBeenRenewed(const Job& job, const TaskPlace& place) const;
-  int NextRun(const Job& job, const TaskPlace& place) const;
+  bool MayHaveBeenRenewed(const Job& job, const TaskPosition& place) const;
+  int NextRun(const Job& job, const TaskPosition& place) const;
 
   // fleet
   void RunFleet(base::Micros now);
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -162,7 +162,7 @@
   BOOST_TEST(over[0].job == "job");
   BOOST_TEST(over[0].queue == "queue");
   BOOST_CHECK(over[0].state == jobs::JobState::kCompleted);
-  const JobStory& story = over[0].timings;
+  const JobTimings& story = over[0].timings;
   BOOST_TEST(story.runs == 2);
   BOOST_TEST(story.lost_runs == 1);
   BOOST_CHECK(story.first_placed >= seconds(2));
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -53,7 +53,7 @@
   const UnknownJob held = std::move(found->second);
   this->unknown_jobs.erase(found);
   for (const auto& [id, end] : held.ends) {
-    if (Exists(job, PlaceOf(end.task)))
+    if (HasTask(job, PositionOf(end.task)))
       this->TakeFate(job, id, end, now);
     this->ReleaseEnd(id, end, job.change);
   }
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -168,9 +168,9 @@
   run.stop_sent = {};
   run.stop_answered = {};
   Job* job = this->FindJob(id.job);
-  if (job && Exists(*job, PlaceOf(id))) {
-    Task& task = TaskAt(*job, PlaceOf(id));
-    const auto placed = job->progress.placed.find(KeyOf(PlaceOf(id)));
+  if (job && HasTask(*job, PositionOf(id))) {
+    Task& task = TaskAt(*job, PositionOf(id));
+    const auto placed = job->progress.placed.find(KeyOf(PositionOf(id)));
     if (task.state == TaskState::kPlaced && task.run == run.number)
       task.worker = next.info.life;
     if (placed != job->progress.placed.end() &&
@@ -248,8 +248,8 @@
   this->actions.emplace_back(std::move(lost));
   for (const auto& [task, loss] : losses) {
     if (runs.contains(task))
-      this->NoteLoss(*this->FindJob(task.job), PlaceOf(task), worker.info.life,
-                     loss, now);
+      this->NoteLoss(*this->FindJob(task.job), PositionOf(task),
+                     worker.info.life, loss, now);
   }
   for (const auto& [task, run] : runs)
     this->TaskLost(task, run.number, now);
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -58,7 +58,7 @@
   std::string service = "pool";
   // Tasks that end the life of each worker that starts them, so long after the
   // start. Another life comes on the box.
-  std::set<scheduler::TaskPlace> crashing;
+  std::set<scheduler::TaskPosition> crashing;
   base::Micros crash_after = std::chrono::milliseconds(10);
 };
 
@@ -147,14 +147,15 @@
     std::uint64_t version = 0;
     std::uint64_t first_version = 0;  // as it was handed in
     bool cancelled = false;
-    base::Micros away_until{};            // its row's part of the store
-    std::set<scheduler::TaskPlace> done;  // noted ends, as workers saw them
-    std::map<scheduler::TaskPlace, int> failed;   // noted
-    std::set<scheduler::TaskPlace> ever_done;     // ended as done, noted or not
-    std::map<scheduler::TaskPlace, int> crashes;  // of workers that started it
-    std::map<scheduler::TaskPlace, int> starts_since_third_crash;
+    base::Micros away_until{};               // its row's part of the store
+    std::set<scheduler::TaskPosition> done;  // noted ends, as workers saw them
+    std::map<scheduler::TaskPosition, int> failed;  // noted
+    std::set<scheduler::TaskPosition> ever_done;  // ended as done, noted or not
+    std::map<scheduler::TaskPosition, int>
+        crashes;  // of workers that started it
+    std::map<scheduler::TaskPosition, int> starts_since_third_crash;
     // Lives that ended without an order while it ran there, whatever the cause.
-    std::map<scheduler::TaskPlace, int> lost_workers;
+    std::map<scheduler::TaskPosition, int> lost_workers;
   };
   // A box, and when it is back from its move or upkeep.
   struct Box {
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -59,7 +59,7 @@
   base::Micros ends = this->now + this->Between(200, 2500);
   const bool crashes =
       this->jobs.at(order.task.job)
-          .job.crashing.contains(scheduler::PlaceOf(order.task));
+          .job.crashing.contains(scheduler::PositionOf(order.task));
   if (crashes || (step.lasting && !fails))
     ends = base::Micros::max();
   worker.running[order.task] = {
@@ -71,7 +71,7 @@
 void SchedulerModel::CrashLater(const Worker& worker,
                                 const scheduler::StartRun& order) {
   const ModelJob& job = this->jobs.at(order.task.job).job;
-  const scheduler::TaskPlace place = scheduler::PlaceOf(order.task);
+  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
   if (!job.crashing.contains(place))
     return;
   this->After(job.crash_after, [this, id = worker.id, order, place] {
@@ -140,7 +140,7 @@
 
 void SchedulerModel::CountLosses(const Worker& worker) {
   for (const auto& [task, run] : worker.running)
-    ++this->jobs.at(task.job).lost_workers[scheduler::PlaceOf(task)];
+    ++this->jobs.at(task.job).lost_workers[scheduler::PositionOf(task)];
 }
 
 // A task under which three workers have crashed may be started twice more.
@@ -148,7 +148,7 @@
   constexpr int kCrashes = 3;
   constexpr int kStartsBeyond = 3;
   StoredJob& stored = this->jobs.at(order.task.job);
-  const scheduler::TaskPlace place = scheduler::PlaceOf(order.task);
+  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
   const auto crashes = stored.crashes.find(place);
   if (crashes == stored.crashes.end() || crashes->second < kCrashes)
     return;
@@ -164,7 +164,7 @@
 void SchedulerModel::JudgeStart(const Worker& worker,
                                 const scheduler::StartRun& order) {
   const StoredJob& stored = this->jobs.at(order.task.job);
-  const scheduler::TaskPlace place = scheduler::PlaceOf(order.task);
+  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
   const std::string name =
       fmt::format("{} step {} task {} run {}", order.task.job, place.step,
                   place.index, order.run);
@@ -219,7 +219,7 @@
                          .reason = how,
                          .checkpoint = ""});
   if (how == scheduler::RunEndReason::kSucceeded)
-    this->jobs.at(task.job).ever_done.insert(scheduler::PlaceOf(task));
+    this->jobs.at(task.job).ever_done.insert(scheduler::PositionOf(task));
 }
 
 void SchedulerModel::WorkOn(Worker& worker) {
@@ -245,9 +245,9 @@
       continue;
     StoredJob& stored = this->jobs.at(end.task.job);
     if (end.reason == scheduler::RunEndReason::kSucceeded)
-      stored.done.insert(scheduler::PlaceOf(end.task));
+      stored.done.insert(scheduler::PositionOf(end.task));
     if (end.reason == scheduler::RunEndReason::kFailed)
-      ++stored.failed[scheduler::PlaceOf(end.task)];
+      ++stored.failed[scheduler::PositionOf(end.task)];
   }
   std::erase_if(worker.ends, [acknowledged](const scheduler::ReportedEnd& end) {
     return end.sequence <= acknowledged;
