--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -45,16 +45,16 @@
              : settings.longest_lease;
 }
 
-scheduler::Limits LimitsOf(const Settings& settings,
-                           const Shard& shard,
-                           std::uint64_t epoch) {
-  scheduler::Limits limits;
+scheduler::SchedulerLimits LimitsOf(const Settings& settings,
+                                    const Shard& shard,
+                                    std::uint64_t epoch) {
+  scheduler::SchedulerLimits limits;
   limits.shards = shard.count;
-  limits.lease = std::min(kLease, settings.longest_lease);
-  limits.grant_bound = GrantBoundOf(settings);
-  limits.longest_grant = WithClockSlack(LongestGrantOf(settings));
-  limits.longest_lease = WithClockSlack(settings.longest_lease);
-  limits.stop_time = settings.stop_time;
+  limits.lease_duration = std::min(kLease, settings.longest_lease);
+  limits.max_lease_after_confirmation = GrantBoundOf(settings);
+  limits.max_grant = WithClockSlack(LongestGrantOf(settings));
+  limits.max_lease = WithClockSlack(settings.longest_lease);
+  limits.max_stop_time = settings.stop_time;
   limits.epoch = epoch;
   limits.fleet = {.move_time = settings.move_time,
                   .upkeep_time = settings.upkeep_time};
@@ -131,7 +131,7 @@
   this->confirmed_at = asked;
   this->save_policy.Confirmed(asked);
   this->renewed_in_doubt = false;
-  this->scheduler.Confirmed(asked, this->authority.certain_until());
+  this->scheduler.OwnershipConfirmed(asked, this->authority.certain_until());
 }
 
 // --- Whether orders may leave ---
@@ -190,12 +190,12 @@
   const base::Micros end = std::min(now + this->settings.longest_lease,
                                     this->confirmed_at + this->GrantBound());
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
-    const std::int64_t deadline = this->scheduler.Deadline(id, end);
+    const std::int64_t deadline = this->scheduler.LeaseDeadline(id, end);
     const bool wanted = worker.listed && worker.recorded && !worker.idle() &&
                         worker.failed_calls == 0 && deadline > 0;
     if (!wanted)
       continue;
-    this->scheduler.Granted(id, end);
+    this->scheduler.LeaseGranted(id, end);
     // The look that waits there for an end brings the news.
     this->workers.Look(
         this->To(id),
@@ -258,7 +258,7 @@
   this->LogPools();
   const base::Micros now = base::MonotonicNow();
   if (now >= this->next_list && !this->listing_boxes &&
-      this->scheduler.wants_boxes() && !this->settings.boxes.empty()) {
+      this->scheduler.needs_box_list() && !this->settings.boxes.empty()) {
     this->listing_boxes = true;
     this->next_list = now + kListPeriod;
     this->ListBoxes("", {}, now);
@@ -361,8 +361,8 @@
 void Manager::GiveBack(const std::deque<Order>& given) {
   for (const Order& order : given) {
     if (const auto* start = std::get_if<scheduler::StartRun>(&order))
-      this->scheduler.Started(*start, scheduler::CommandOutcome::kNotSent,
-                              base::MonotonicNow());
+      this->scheduler.StartAnswered(*start, scheduler::CommandOutcome::kNotSent,
+                                    base::MonotonicNow());
   }
 }
 
@@ -378,8 +378,8 @@
     waiting.swap(queue.waiting);
   for (Order& order : waiting) {
     if (const auto* start = std::get_if<scheduler::StartRun>(&order)) {
-      this->scheduler.Started(*start, scheduler::CommandOutcome::kNotSent,
-                              base::MonotonicNow());
+      this->scheduler.StartAnswered(*start, scheduler::CommandOutcome::kNotSent,
+                                    base::MonotonicNow());
     } else {
       queue.waiting.push_back(std::move(order));
     }
@@ -398,15 +398,16 @@
   const base::Micros end =
       std::min(std::max(known->lease_end, now + kStartLease),
                this->scheduler.LeaseEnd(now));
-  const std::int64_t deadline = this->scheduler.Deadline(worker, end);
-  const bool wanted = this->scheduler.StillWanted(order);
+  const std::int64_t deadline = this->scheduler.LeaseDeadline(worker, end);
+  const bool wanted = this->scheduler.IsStillNeeded(order);
   if (deadline <= 0 || end <= now || !wanted) {
-    this->scheduler.Started(order, scheduler::CommandOutcome::kNotSent, now);
+    this->scheduler.StartAnswered(order, scheduler::CommandOutcome::kNotSent,
+                                  now);
     this->orders[worker].in_flight = false;
     this->SendNext(worker);
     return;
   }
-  this->scheduler.Granted(worker, end);
+  this->scheduler.LeaseGranted(worker, end);
   this->workers.Start(
       this->To(worker), order, deadline,
       [this, worker, order,
@@ -422,8 +423,8 @@
              {"worker", worker.id},
              {"outcome",
               base::NameOf(scheduler::kCommandOutcomeNames, outcome)}});
-        this->scheduler.Started(order, outcome, base::MonotonicNow(),
-                                result.clock_ms);
+        this->scheduler.StartAnswered(order, outcome, base::MonotonicNow(),
+                                      result.clock_ms);
         this->OrderAnswered(worker, outcome);
       });
 }
@@ -435,8 +436,8 @@
                       lives = this->alive](scheduler::CommandOutcome outcome) {
                        if (!*lives)
                          return;
-                       this->scheduler.Stopped(order, outcome,
-                                               base::MonotonicNow());
+                       this->scheduler.StopAnswered(order, outcome,
+                                                    base::MonotonicNow());
                        this->OrderAnswered(worker, outcome);
                      });
 }
@@ -457,10 +458,10 @@
   const base::Micros end = this->scheduler.LeaseEnd(now);
   const jobs::WorkerLife worker = order.worker;
   const std::int64_t deadline =
-      order.renews_lease ? this->scheduler.Deadline(worker, end) : 0;
-  this->scheduler.LookSent(order, now);
+      order.renews_lease ? this->scheduler.LeaseDeadline(worker, end) : 0;
+  this->scheduler.PollSent(order, now);
   if (deadline > 0)
-    this->scheduler.LookGrants(worker, end);
+    this->scheduler.PollGrantsLease(worker, end);
   this->workers.Look(
       this->To(worker), order, deadline,
       [this, worker, lives = this->alive](const platform::LookResult& result) {
@@ -468,9 +469,9 @@
           return;
         const base::Micros then = base::MonotonicNow();
         if (result.outcome == scheduler::CommandOutcome::kDone)
-          this->scheduler.Listed(worker, result.listing, then);
+          this->scheduler.WorkerReported(worker, result.listing, then);
         else
-          this->scheduler.LookFailed(worker, result.outcome, then);
+          this->scheduler.PollFailed(worker, result.outcome, then);
         this->ActSoon();
       });
 }
@@ -480,7 +481,7 @@
                              const std::optional<scheduler::Advice>& advice) {
     if (!*lives)
       return;
-    this->scheduler.Advised(ask, advice, base::MonotonicNow());
+    this->scheduler.AdviceAnswered(ask, advice, base::MonotonicNow());
     this->ActSoon();
   });
 }
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -16,34 +16,35 @@
 }  // namespace
 
 BoxCalls::Events Manager::BoxCallEvents() {
-  return {
-      .on_claimed =
-          [this](const std::vector<scheduler::BoxCall>& calls) {
-            this->kept_calls = calls;
-            this->Begin();
-          },
-      .on_recorded =
-          [this](const scheduler::BoxCall& call) {
-            std::visit([this](const auto& one) { this->SendBox(one); }, call);
-          },
-      .on_refused =
-          [this](const scheduler::BoxCall& call) {
-            struct Visitor {
-              scheduler::Scheduler& scheduler;
+  return {.on_claimed =
+              [this](const std::vector<scheduler::BoxCall>& calls) {
+                this->kept_calls = calls;
+                this->Begin();
+              },
+          .on_recorded =
+              [this](const scheduler::BoxCall& call) {
+                std::visit([this](const auto& one) { this->SendBox(one); },
+                           call);
+              },
+          .on_refused =
+              [this](const scheduler::BoxCall& call) {
+                struct Visitor {
+                  scheduler::Scheduler& scheduler;
 
-              void operator()(const scheduler::MoveBox& move) const {
-                this->scheduler.Moved(move, scheduler::BoxCallOutcome::kNotSent,
-                                      base::MonotonicNow());
-              }
-              void operator()(const scheduler::MaintainBox& upkeep) const {
-                this->scheduler.UpkeepBegun(upkeep,
-                                            scheduler::BoxCallOutcome::kNotSent,
-                                            base::MonotonicNow());
-              }
-            };
-            std::visit(Visitor{this->scheduler}, call);
-          },
-      .on_fenced = [this] { this->authority.on_fenced(); }};
+                  void operator()(const scheduler::MoveBox& move) const {
+                    this->scheduler.MoveAnswered(
+                        move, scheduler::BoxCallOutcome::kNotSent,
+                        base::MonotonicNow());
+                  }
+                  void operator()(const scheduler::MaintainBox& upkeep) const {
+                    this->scheduler.MaintenanceAnswered(
+                        upkeep, scheduler::BoxCallOutcome::kNotSent,
+                        base::MonotonicNow());
+                  }
+                };
+                std::visit(Visitor{this->scheduler}, call);
+              },
+          .on_fenced = [this] { this->authority.on_fenced(); }};
 }
 
 void Manager::RecordBoxCalls() {
@@ -71,7 +72,7 @@
 }
 
 void Manager::SendBox(const scheduler::MoveBox& order) {
-  this->LogBoxAsked("move", order.box, order.evidence);
+  this->LogBoxAsked("move", order.box, order.context);
   const base::Micros sent = base::MonotonicNow();
   this->boxes.Move(order, this->epoch,
                    [this, order, sent,
@@ -85,13 +86,13 @@
                                 {"epoch", this->epoch},
                                 {"outcome", OutcomeName(outcome)},
                                 {"took_ms", base::Millis(now - sent)}});
-                     this->scheduler.Moved(order, outcome, now);
+                     this->scheduler.MoveAnswered(order, outcome, now);
                      this->ActSoon();
                    });
 }
 
 void Manager::SendBox(const scheduler::MaintainBox& order) {
-  this->LogBoxAsked("upkeep", order.box, order.evidence);
+  this->LogBoxAsked("upkeep", order.box, order.context);
   const base::Micros sent = base::MonotonicNow();
   this->boxes.Upkeep(order, this->epoch,
                      [this, order, sent,
@@ -105,7 +106,7 @@
                                   {"epoch", this->epoch},
                                   {"outcome", OutcomeName(outcome)},
                                   {"took_ms", base::Millis(now - sent)}});
-                       this->scheduler.UpkeepBegun(order, outcome, now);
+                       this->scheduler.MaintenanceAnswered(order, outcome, now);
                        this->ActSoon();
                      });
 }
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -109,7 +109,7 @@
       this->saves.Add(save);
       continue;
     }
-    this->scheduler.Saved(SaveResultOf(save, result, there), now);
+    this->scheduler.ProgressSaved(SaveResultOf(save, result, there), now);
   }
 }
 
@@ -252,7 +252,7 @@
   for (const scheduler::PoolState& state :
        this->scheduler.PoolStates(base::MonotonicNow()))
     load.pools[state.pool] = state.load_percent;
-  load.kinds = this->scheduler.Kinds();
+  load.kinds = this->scheduler.BoxKinds();
   return load;
 }
 
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -161,7 +161,7 @@
       this->TakeLeases(row);
   }
   for (const auto& [id, info] : *this->announced)
-    this->scheduler.PutWorker(info, now);
+    this->scheduler.UpdateWorker(info, now);
 }
 
 void Manager::AddKeptJobs() {
@@ -283,7 +283,7 @@
       base::Log(base::Event::kRowMalformed, {{"row", job}});
     const bool is_over = !progress || progress->IsOver();
     if (is_over)
-      this->scheduler.JobIsOver(job, base::MonotonicNow());
+      this->scheduler.UnknownJobIsOver(job, base::MonotonicNow());
     else
       this->ReadJobRow(job, *progress, row->version);
   });
@@ -300,7 +300,7 @@
                          : std::optional<scheduler::Job>();
     if (!made) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
-      this->scheduler.JobIsOver(job, now);
+      this->scheduler.UnknownJobIsOver(job, now);
       return;
     }
     this->scheduler.AddJob(std::move(*made), now);
@@ -351,7 +351,7 @@
   const auto withdraw = [this, &id, now] {
     this->announced->erase(id);
     if (this->begun)
-      this->scheduler.WorkerUnlisted(id, now);
+      this->scheduler.WorkerDeregistered(id, now);
   };
   if (changed.removed) {
     withdraw();
@@ -364,7 +364,7 @@
       return;
     (*this->announced)[id] = info;
     if (this->begun)
-      this->scheduler.PutWorker(info, now);
+      this->scheduler.UpdateWorker(info, now);
   } catch (const platform::BadInput& problem) {
     base::Log(base::Event::kRowMalformed,
               {{"row", id}, {"problem", problem.what()}});
--- a/entry/save_result.cc
+++ b/entry/save_result.cc
@@ -44,7 +44,7 @@
         saved.stored = StoredProgress(*there);
       break;
     case platform::WriteOutcome::kRefused:
-      saved.outcome = scheduler::SaveOutcome::kRefused;
+      saved.outcome = scheduler::SaveOutcome::kRejected;
       break;
     case platform::WriteOutcome::kNotDone:
     case platform::WriteOutcome::kUnknown:
--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -83,14 +83,14 @@
   std::string box;
   std::string pool;
   jobs::WorkerLife life;  // there when it was decided; empty: none
-  BoxCallContext evidence;
+  BoxCallContext context;
 };
 
 struct MaintainBox {
   std::string box;
   int wave = 0;
   jobs::WorkerLife life;  // as above
-  BoxCallContext evidence;
+  BoxCallContext context;
 };
 
 // A call for a box, recorded before it is made: the next owner makes it again
--- a/scheduler/advice.cc
+++ b/scheduler/advice.cc
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-bool Scheduler::HasAdvice(Job& job,
-                          const TaskPosition& place,
-                          const std::vector<Worker*>& candidates,
-                          base::Micros now) {
+bool Scheduler::EnsureAdvice(Job& job,
+                             const TaskPosition& place,
+                             const std::vector<Worker*>& candidates,
+                             base::Micros now) {
   StepState& runs = StepAt(job, place);
   StepAdvice& advice = runs.advice;
   if (!advice.tickets.empty() && now + kTicketMargin < advice.valid_until)
@@ -54,9 +54,9 @@
   return false;
 }
 
-void Scheduler::Advised(const RequestAdvice& asked,
-                        const std::optional<Advice>& answer,
-                        base::Micros now) {
+void Scheduler::AdviceAnswered(const RequestAdvice& asked,
+                               const std::optional<Advice>& answer,
+                               base::Micros now) {
   Job* job = this->FindJob(asked.job);
   const TaskPosition place{
       .occurrence = asked.occurrence, .step = asked.step, .index = 0};
--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -47,8 +47,8 @@
       const std::vector<Action> actions = this->bench.Turn();
       this->bench.Save(Only<SaveProgress>(actions));
       for (const StartRun& start : Only<StartRun>(actions)) {
-        this->bench.scheduler.Started(start, CommandOutcome::kDone,
-                                      this->bench.now);
+        this->bench.scheduler.StartAnswered(start, CommandOutcome::kDone,
+                                            this->bench.now);
         this->starts.push_back(start);
       }
     }
@@ -60,7 +60,7 @@
   }
 
   void Come(const std::string& worker) {
-    this->bench.scheduler.PutWorker(Bench::Worker(worker), this->bench.now);
+    this->bench.scheduler.UpdateWorker(Bench::Worker(worker), this->bench.now);
     this->bench.List(worker, {});
   }
 
@@ -129,9 +129,9 @@
 BOOST_AUTO_TEST_CASE(OwnerThatIsCutOffMovesNoBoxFromUnderALastingTask) {
   TwoLastingTasks two;
   for (int i = 0; i < 20; ++i) {
-    two.bench.scheduler.LookFailed(two.bench.LifeOf("a"),
+    two.bench.scheduler.PollFailed(two.bench.LifeOf("a"),
                                    CommandOutcome::kUnknown, two.bench.now);
-    two.bench.scheduler.LookFailed(two.bench.LifeOf("b"),
+    two.bench.scheduler.PollFailed(two.bench.LifeOf("b"),
                                    CommandOutcome::kUnknown, two.bench.now);
     if (i == 15)
       two.SetOtherPoolShort();
@@ -159,12 +159,13 @@
   const StartRun start = two.bench.NextStart();
   const jobs::WorkerLife silent = start.worker;
   BOOST_REQUIRE((silent.id == "x" || silent.id == "y"));
-  two.bench.scheduler.Started(start, CommandOutcome::kDone, two.bench.now);
+  two.bench.scheduler.StartAnswered(start, CommandOutcome::kDone,
+                                    two.bench.now);
   two.bench.scheduler.CancelJob("cancelled", two.bench.now);
   two.SetOtherPoolShort();
   for (int i = 0; i < 30; ++i) {
     two.ListBoth();
-    two.bench.scheduler.LookFailed(silent, CommandOutcome::kUnknown,
+    two.bench.scheduler.PollFailed(silent, CommandOutcome::kUnknown,
                                    two.bench.now);
     two.Confirm();
     BOOST_TEST(!Holds(two.MovedAfter(milliseconds(300)), "box-" + silent.id));
--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -25,7 +25,7 @@
 BOOST_AUTO_TEST_CASE(PlanThatDoesNotFitAnyMoreIsNotStarted) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
-    bench.scheduler.PutWorker(Bench::Worker(id), bench.now);
+    bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
     bench.List(id, {});
   }
   bench.AddJob("job");
@@ -34,7 +34,7 @@
     saves = Only<SaveProgress>(bench.Turn());
   const std::string planned =
       bench.scheduler.FindWorker("a")->idle() ? "b" : "a";
-  bench.scheduler.PutWorker(WithCores(planned, 500), bench.now);
+  bench.scheduler.UpdateWorker(WithCores(planned, 500), bench.now);
   bench.Save(saves);
   BOOST_TEST(Only<StartRun>(bench.scheduler.TakeActions()).empty());
   const StartRun start = bench.NextStart();
@@ -46,12 +46,12 @@
 // room has grown again they come.
 BOOST_AUTO_TEST_CASE(RoomThatShrankTakesNothingUntilItFits) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   bench.AddJob("first");
   const StartRun first = bench.NextStart();
-  bench.scheduler.Started(first, CommandOutcome::kDone, bench.now);
-  bench.scheduler.PutWorker(WithCores("w", 500), bench.now);
+  bench.scheduler.StartAnswered(first, CommandOutcome::kDone, bench.now);
+  bench.scheduler.UpdateWorker(WithCores("w", 500), bench.now);
   bench.AddJob("second");
   const WorkerReport running{.clock_ms = 0,
                              .running = {{.task = first.task,
@@ -67,7 +67,7 @@
     bench.Save(Only<SaveProgress>(actions));
     bench.List("w", running);
   }
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   BOOST_TEST(bench.NextStart().task.job == "second");
 }
 
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -62,7 +62,7 @@
 }  // namespace
 
 // What is to be noted of the worker's loss, by the tasks that ran there.
-std::map<jobs::TaskId, jobs::WorkerLoss> Scheduler::LossesUnder(
+std::map<jobs::TaskId, jobs::WorkerLoss> Scheduler::CollectLosses(
     const Worker& worker,
     const std::map<jobs::TaskId, Run>& runs,
     LossReason sign) {
@@ -98,34 +98,34 @@
   return losses;
 }
 
-void Scheduler::NoteLoss(Job& job,
-                         const TaskPosition& place,
-                         const jobs::WorkerLife& life,
-                         const jobs::WorkerLoss& loss,
-                         base::Micros now) {
+void Scheduler::RecordLoss(Job& job,
+                           const TaskPosition& place,
+                           const jobs::WorkerLife& life,
+                           const jobs::WorkerLoss& loss,
+                           base::Micros now) {
   if (job.finished() || TaskAt(job, place).state == TaskState::kDone)
     return;
   job.progress.MarkLost(KeyOf(place), life, loss);
   TaskAt(job, place).latest_loss_at = now;
   if (loss.has_crashed)
-    this->GiveUpCauses(job, now);
+    this->GiveUpCrashingTasks(job, now);
   else if (!loss.box.empty())
     this->open_losses.Add(life, loss.box, job.id);
 }
 
 // An earlier owner placed the task on a worker that nobody knows any more. How
 // it went, that owner may have known and not lived to record.
-void Scheduler::NoteUnseenLoss(Job& job,
-                               const TaskPosition& place,
-                               const jobs::Placement& placement,
-                               base::Micros now) {
-  this->NoteLoss(job, place, placement.worker, {.run = placement.run}, now);
+void Scheduler::RecordUnobservedLoss(Job& job,
+                                     const TaskPosition& place,
+                                     const jobs::Placement& placement,
+                                     base::Micros now) {
+  this->RecordLoss(job, place, placement.worker, {.run = placement.run}, now);
 }
 
 // Gives up plans that were made before another owner's knowledge of the losses,
 // read from its row, came to light; their own record was refused. The places
 // concerned.
-std::vector<TaskPosition> Scheduler::VoidSuspectPlans(
+std::vector<TaskPosition> Scheduler::CancelSuspectPlans(
     Job& job,
     const jobs::Progress& stored,
     base::Micros now) {
@@ -141,7 +141,7 @@
         run->second.suspicion < this->SuspicionOf(job, start.place, now);
     if (!is_outdated)
       continue;
-    this->VoidPlan(job, start.place);
+    this->CancelPlan(job, start.place);
     const jobs::TaskKey key = KeyOf(start.place);
     const auto recorded = stored.placed.find(key);
     if (recorded != stored.placed.end())
@@ -165,11 +165,11 @@
         this->open_losses.Add(life, loss.box, job.id);
     }
   }
-  this->GiveUpCauses(job, now);
+  this->GiveUpCrashingTasks(job, now);
 }
 
 // The worker answers: it has not crashed, and earlier lives on its box have.
-void Scheduler::SettleLosses(const Worker& worker, base::Micros now) {
+void Scheduler::ResolveLosses(const Worker& worker, base::Micros now) {
   const jobs::WorkerLife& life = worker.info.life;
   for (const std::string& id : this->open_losses.Take(life)) {
     Job* job = this->FindJob(id);
@@ -191,20 +191,20 @@
         if (found != losses.end())
           found->second.has_crashed = true;
       }
-      this->GiveUpCauses(*job, now);
+      this->GiveUpCrashingTasks(*job, now);
     }
   }
 }
 
 // Told when the run is planned, so that the row says so before it starts.
-void Scheduler::NoteLastTry(Job& job, const TaskPosition& place, int run) {
+void Scheduler::RecordLastTry(Job& job, const TaskPosition& place, int run) {
   const auto found = job.progress.losses.find(KeyOf(place));
   if (found != job.progress.losses.end() && IsLastTry(found->second))
     job.progress.last_tries[KeyOf(place)].insert(run);
 }
 
 // The run has not been started after all.
-void Scheduler::TakeBackLastTry(Job& job, const TaskPosition& place, int run) {
+void Scheduler::RevokeLastTry(Job& job, const TaskPosition& place, int run) {
   const auto found = job.progress.last_tries.find(KeyOf(place));
   if (found == job.progress.last_tries.end())
     return;
@@ -249,7 +249,7 @@
 // A task that crashes its workers ends its job. Lasting tasks beside it serve
 // on: stopping them all at once takes away more than may be, and it alone is
 // not started any more. What is placed is judged once its run is over.
-void Scheduler::GiveUpCauses(Job& job, base::Micros now) {
+void Scheduler::GiveUpCrashingTasks(Job& job, base::Micros now) {
   if (job.finished())
     return;
   const bool serves_on = HasLastingStep(job);
@@ -269,13 +269,15 @@
       task.state = TaskState::kGivenUp;
       continue;
     }
-    this->Finish(job, jobs::JobState::kFailed, now);
+    this->FinishJob(job, jobs::JobState::kFailed, now);
     return;
   }
 }
 
 // It is listed as running: what lives on has not crashed its worker.
-void Scheduler::WatchSuspect(Worker& worker, const jobs::TaskId& id, Run& run) {
+void Scheduler::UpdateSuspicion(Worker& worker,
+                                const jobs::TaskId& id,
+                                Run& run) {
   const base::Micros ran = HeardRunning(run, worker);
   if (run.suspicion != Suspicion::kNone && ran >= kProbation)
     ClearSuspicion(worker, run);
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-void Scheduler::TakeEnd(Worker& worker,
-                        const ReportedEnd& end,
-                        base::Micros now) {
+void Scheduler::ProcessRunEnd(Worker& worker,
+                              const ReportedEnd& end,
+                              base::Micros now) {
   // 1. The run's room is free.
   const auto run = worker.runs.find(end.task);
   const bool is_ours =
@@ -68,21 +68,21 @@
   // 2. The task's fate.
   Job* job = this->FindJob(end.task.job);
   if (!job) {
-    this->HoldEnd(worker, end);
+    this->BufferRunEnd(worker, end);
     return;
   }
   if (!HasTask(*job, PositionOf(end.task)))
     return;
-  this->TakeFate(*job, worker.info.life, end, now);
+  this->ApplyRunEnd(*job, worker.info.life, end, now);
   // 3. It is acknowledged once the job's row holds it.
   worker.pending_ends.push_back(
       {.number = end.sequence, .job = job->id, .change = job->change});
 }
 
-void Scheduler::TakeFate(Job& job,
-                         const jobs::WorkerLife& worker,
-                         const ReportedEnd& end,
-                         base::Micros now) {
+void Scheduler::ApplyRunEnd(Job& job,
+                            const jobs::WorkerLife& worker,
+                            const ReportedEnd& end,
+                            base::Micros now) {
   const TaskPosition place = PositionOf(end.task);
   job.has_started = true;
   Task& task = TaskAt(job, place);
@@ -92,20 +92,20 @@
   const bool done = end.reason == RunEndReason::kSucceeded && !lasting;
   const bool failed = end.reason == RunEndReason::kFailed;
   if (done)
-    this->TaskDone(job, place, now);
+    this->MarkTaskDone(job, place, now);
   else if (failed && !lasting)
-    this->TaskFailed(job, place, end.run, worker, now);
+    this->RecordTaskFailure(job, place, end.run, worker, now);
   else if (failed)
     RememberFailure(task, worker);
   const auto by = this->workers.find(worker);
   if ((done || failed) && by != this->workers.end())
-    this->JudgeWorker(by->second, failed, now);
-  this->TaskLost(end.task, end.run, now);
+    this->UpdateFailureRate(by->second, failed, now);
+  this->HandleLostRun(end.task, end.run, now);
 }
 
-void Scheduler::TaskDone(Job& job,
-                         const TaskPosition& place,
-                         base::Micros now) {
+void Scheduler::MarkTaskDone(Job& job,
+                             const TaskPosition& place,
+                             base::Micros now) {
   const jobs::StepKey key{.occurrence = place.occurrence, .step = place.step};
   const jobs::Step& step = StepOf(job, place);
   StepState& runs = StepAt(job, place);
@@ -135,18 +135,18 @@
   }
   if (!is_news || job.finished())
     return;
-  this->Changed(job);
+  this->MarkChanged(job);
   if (AreAllTasksDone(job))
-    this->Finish(job, jobs::JobState::kCompleted, now);
+    this->FinishJob(job, jobs::JobState::kCompleted, now);
   else
     this->Release(job, now);
 }
 
-void Scheduler::TaskFailed(Job& job,
-                           const TaskPosition& place,
-                           int run,
-                           const jobs::WorkerLife& worker,
-                           base::Micros now) {
+void Scheduler::RecordTaskFailure(Job& job,
+                                  const TaskPosition& place,
+                                  int run,
+                                  const jobs::WorkerLife& worker,
+                                  base::Micros now) {
   const jobs::Step& step = StepOf(job, place);
   Task& task = TaskAt(job, place);
   RememberFailure(task, worker);
@@ -157,7 +157,7 @@
   job.progress.MarkFailed(key, run);
   if (job.finished())
     return;
-  this->Changed(job);
+  this->MarkChanged(job);
   const int count = job.progress.FailuresOf(key);
   this->actions.emplace_back(
       LogNote{job.id, fmt::format("task {}.{}.{} run {} failed on {}, {} of {}",
@@ -165,11 +165,13 @@
                                   run, worker.id, count, job.queue.attempts)});
   if (count >= job.queue.attempts) {
     task.state = TaskState::kFailed;
-    this->Finish(job, jobs::JobState::kFailed, now);
+    this->FinishJob(job, jobs::JobState::kFailed, now);
   }
 }
 
-void Scheduler::TaskLost(const jobs::TaskId& id, int run, base::Micros now) {
+void Scheduler::HandleLostRun(const jobs::TaskId& id,
+                              int run,
+                              base::Micros now) {
   Job* job = this->FindJob(id.job);
   if (!job || !HasTask(*job, PositionOf(id)))
     return;
@@ -177,7 +179,7 @@
   const auto stopping = job->progress.stopping.find(KeyOf(place));
   if (stopping != job->progress.stopping.end() && stopping->second.run == run) {
     job->progress.stopping.erase(stopping);
-    this->Changed(*job);
+    this->MarkChanged(*job);
   }
   Task& task = TaskAt(*job, place);
   if (task.state != TaskState::kPlaced || task.run != run)
@@ -217,7 +219,9 @@
       now);
 }
 
-void Scheduler::JudgeWorker(Worker& worker, bool failed, base::Micros now) {
+void Scheduler::UpdateFailureRate(Worker& worker,
+                                  bool failed,
+                                  base::Micros now) {
   worker.failure_rate +=
       kFailureWeight * ((failed ? 1.0 : 0.0) - worker.failure_rate);
   if (!failed || worker.failure_rate < kFailureLimit)
@@ -233,7 +237,7 @@
 
 // Runs that stand still, or crawl, start anew elsewhere: what they have saved
 // goes with them.
-void Scheduler::MoveOffBadWorker(Worker& worker, base::Micros now) {
+void Scheduler::MigrateOffUnhealthyWorker(Worker& worker, base::Micros now) {
   std::vector<jobs::TaskId> stalled;
   std::vector<jobs::TaskId> slow;
   for (const auto& [id, run] : worker.runs) {
@@ -244,24 +248,24 @@
       continue;
     if (run.percent < 100 && now - run.progressed > kStallTime)
       stalled.push_back(id);
-    else if (this->IsCrawling(*job, id, run, now))
+    else if (this->IsSlow(*job, id, run, now))
       slow.push_back(id);
   }
   for (const jobs::TaskId& id : stalled) {
-    this->JudgeWorker(worker, true, now);
-    this->MoveOff(worker, id, "stands still", now);
+    this->UpdateFailureRate(worker, true, now);
+    this->MigrateTask(worker, id, "stands still", now);
   }
   for (const jobs::TaskId& id : slow) {
     worker.slow_until = now + kSlowFor;
-    this->MoveOff(worker, id, "crawls", now);
+    this->MigrateTask(worker, id, "crawls", now);
   }
 }
 
 // Is the run so slow that it would end sooner if it began anew elsewhere?
-bool Scheduler::IsCrawling(const Job& job,
-                           const jobs::TaskId& id,
-                           const Run& run,
-                           base::Micros now) const {
+bool Scheduler::IsSlow(const Job& job,
+                       const jobs::TaskId& id,
+                       const Run& run,
+                       base::Micros now) const {
   const jobs::Step& step = StepOf(job, PositionOf(id));
   if (step.lasting || run.adopted || run.percent <= 0 || run.percent >= 100)
     return false;
@@ -274,10 +278,10 @@
   return left > kSlowTimes * expected + kSlowSlack;
 }
 
-void Scheduler::MoveOff(Worker& worker,
-                        const jobs::TaskId& id,
-                        const char* why,
-                        base::Micros now) {
+void Scheduler::MigrateTask(Worker& worker,
+                            const jobs::TaskId& id,
+                            const char* why,
+                            base::Micros now) {
   Job* job = this->FindJob(id.job);
   Task& task = TaskAt(*job, PositionOf(id));
   if (task.migrations >= kMostMoves)
@@ -293,7 +297,7 @@
 
 // Ends are recorded in the order of their numbers, since the worker is told
 // one number up to which it may forget.
-void Scheduler::Acknowledge(Worker& worker) {
+void Scheduler::AdvanceAcknowledged(Worker& worker) {
   while (!worker.pending_ends.empty()) {
     const PendingEnd& end = worker.pending_ends.front();
     if (end.is_held)
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-FleetView Scheduler::ViewFleet(base::Micros now) {
+FleetView Scheduler::BuildFleetView(base::Micros now) {
   FleetView view;
   std::map<std::string, std::map<int, PoolNeed>> needs;
   for (const auto& [id, worker] : this->workers) {
@@ -76,8 +76,8 @@
     const double slope = std::max(0.0, this->demand.Slope(queue.name, now));
     needs[queue.service][queue.priority].soon_cores += kSlopeWeight * slope;
   }
-  std::map<std::string, int> least = this->LeastBoxes();
-  this->AddForStuckTasks(now, view, least);
+  std::map<std::string, int> least = this->MinBoxes();
+  this->AddBoxesForStuckTasks(now, view, least);
   for (const jobs::Service& service : this->config.services) {
     view.pools.push_back({.name = service.name,
                           .spare = service.spare,
@@ -89,7 +89,7 @@
 
 // Lasting tasks that may not share a box need as many boxes at any time. (A box
 // that is emptied for a wave does not count as one of them.)
-std::map<std::string, int> Scheduler::LeastBoxes() const {
+std::map<std::string, int> Scheduler::MinBoxes() const {
   std::map<std::string, int> least;
   for (const auto& [id, job] : this->jobs) {
     if (job.finished())
@@ -125,12 +125,12 @@
 
 // Cores alone do not show that a pool needs a box when its boxes are full of
 // something else: it gets one more than it has.
-void Scheduler::AddForStuckTasks(base::Micros now,
-                                 const FleetView& view,
-                                 std::map<std::string, int>& least) {
+void Scheduler::AddBoxesForStuckTasks(base::Micros now,
+                                      const FleetView& view,
+                                      std::map<std::string, int>& least) {
   std::map<std::string, int> idle;
   for (const auto& [life, worker] : this->workers)
-    idle[worker.info.service] += worker.idle() && this->Usable(worker, now);
+    idle[worker.info.service] += worker.idle() && this->IsUsable(worker, now);
   for (const auto& [service, tasks] : this->ready) {
     int boxes = 0;
     double cores = 0.0;
@@ -184,31 +184,31 @@
     std::visit([&](const auto& one) { this->fleet.Inherit(one, now); }, call);
 }
 
-void Scheduler::Moved(const MoveBox& order,
-                      BoxCallOutcome outcome,
-                      base::Micros now) {
+void Scheduler::MoveAnswered(const MoveBox& order,
+                             BoxCallOutcome outcome,
+                             base::Micros now) {
   this->fleet.Moved(order, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
-    this->BoxTaken(order.box, now);
+    this->ReclaimBox(order.box, now);
 }
 
-void Scheduler::UpkeepBegun(const MaintainBox& order,
-                            BoxCallOutcome outcome,
-                            base::Micros now) {
+void Scheduler::MaintenanceAnswered(const MaintainBox& order,
+                                    BoxCallOutcome outcome,
+                                    base::Micros now) {
   this->fleet.UpkeepBegun(order, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
-    this->BoxTaken(order.box, now);
+    this->ReclaimBox(order.box, now);
 }
 
 // All that ran on the box is over once the platform has taken it.
-void Scheduler::BoxTaken(const std::string& box, base::Micros now) {
+void Scheduler::ReclaimBox(const std::string& box, base::Micros now) {
   const jobs::WorkerLife life = this->fleet.LifeBefore(box);
   if (!life.empty())
-    this->LifeIsOver(life, LossReason::kBoxReclaimed, now);
+    this->EndIncarnation(life, LossReason::kBoxReclaimed, now);
 }
 
 // A lasting task may be interrupted while every other one of its step is at
@@ -224,13 +224,13 @@
   const StepState& runs = StepAt(job->second, PositionOf(id));
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
     const bool itself = static_cast<int>(i) == id.index;
-    away += !itself && !this->IsSeenAtWork(runs.tasks[i], now);
+    away += !itself && !this->IsKnownToServe(runs.tasks[i], now);
   }
   return away < step.may_be_away;
 }
 
 // At work by a recent listing: its worker may have died since an older one.
-bool Scheduler::IsSeenAtWork(const Task& task, base::Micros now) const {
+bool Scheduler::IsKnownToServe(const Task& task, base::Micros now) const {
   const auto worker = this->workers.find(task.worker);
   return task.is_serving && worker != this->workers.end() &&
          worker->second.failed_calls == 0 &&
@@ -238,7 +238,7 @@
 }
 
 // A task is not interrupted for nothing: another worker must have room for it.
-bool Scheduler::HasPlaceElsewhere(const jobs::TaskId& id, base::Micros now) {
+bool Scheduler::CanRunElsewhere(const jobs::TaskId& id, base::Micros now) {
   const Job* job = this->FindJob(id.job);
   if (!job || !HasTask(*job, PositionOf(id)))
     return true;
@@ -254,8 +254,8 @@
                      task.worker == entry.first;
             });
         return worker.info.service == job->queue.service &&
-               this->Usable(worker, now) && jobs::Fits(takes, worker.room()) &&
-               (most == 0 || here < most);
+               this->IsUsable(worker, now) &&
+               jobs::Fits(takes, worker.room()) && (most == 0 || here < most);
       });
 }
 
@@ -266,7 +266,7 @@
     for (auto& [task, run] : worker.runs) {
       const bool movable = run.lasting && run.state == RunState::kRunning;
       if (!movable || !this->MayInterrupt(task, now) ||
-          !this->HasPlaceElsewhere(task, now))
+          !this->CanRunElsewhere(task, now))
         continue;
       // It is away from here on, before its end is listed.
       Job* job = this->FindJob(task.job);
@@ -277,9 +277,9 @@
   }
 }
 
-BoxCallContext Scheduler::EvidenceOf(const std::string& box,
-                                     base::Micros now) const {
-  BoxCallContext evidence{.confirmed_ago = now - this->confirmed,
+BoxCallContext Scheduler::BoxCallContextOf(const std::string& box,
+                                           base::Micros now) const {
+  BoxCallContext evidence{.confirmed_ago = now - this->confirmed_at,
                           .last_answer_ago = base::Micros(-1)};
   for (const auto& [id, worker] : this->workers) {
     if (worker.info.box != box)
@@ -292,17 +292,17 @@
 }
 
 void Scheduler::RunFleet(base::Micros now) {
-  if (now < this->next_fleet)
+  if (now < this->next_fleet_plan)
     return;
-  this->next_fleet = now + kFleetPeriod;
-  for (FleetStep& step : this->fleet.Plan(this->ViewFleet(now), now)) {
+  this->next_fleet_plan = now + kFleetPeriod;
+  for (FleetStep& step : this->fleet.Plan(this->BuildFleetView(now), now)) {
     if (const auto* evacuate = std::get_if<Evacuate>(&step)) {
       this->StopForEvacuation(evacuate->box, now);
     } else if (auto* move = std::get_if<MoveBox>(&step)) {
-      move->evidence = this->EvidenceOf(move->box, now);
+      move->context = this->BoxCallContextOf(move->box, now);
       this->actions.emplace_back(std::move(*move));
     } else if (auto* upkeep = std::get_if<MaintainBox>(&step)) {
-      upkeep->evidence = this->EvidenceOf(upkeep->box, now);
+      upkeep->context = this->BoxCallContextOf(upkeep->box, now);
       this->actions.emplace_back(std::move(*upkeep));
     } else if (const auto* report = std::get_if<ReportWave>(&step)) {
       this->actions.emplace_back(*report);
--- a/scheduler/inheritance.cc
+++ b/scheduler/inheritance.cc
@@ -23,7 +23,7 @@
     if (task.state == TaskState::kDone || task.state == TaskState::kPlaced)
       continue;
     task.latest_run = std::max(task.latest_run, placement.run);
-    Worker* worker = this->HolderOf(placement.worker);
+    Worker* worker = this->FindHolder(placement.worker);
     // A worker that no owner has in its list has no lease any more.
     if (!worker) {
       if (EpochOf(placement.run) < this->limits.epoch)
@@ -38,7 +38,7 @@
     this->InheritRun(job, place, placement.run, *worker, now);
   }
   for (const auto& [place, placement] : lost)
-    this->NoteUnseenLoss(job, place, placement, now);
+    this->RecordUnobservedLoss(job, place, placement, now);
   this->InheritStops(job, now);
 }
 
@@ -47,7 +47,8 @@
                            int number,
                            Worker& worker,
                            base::Micros now) {
-  Run run = this->RunOf(job, StepOf(job, place), number, RunState::kInherited);
+  Run run =
+      this->MakeRun(job, StepOf(job, place), number, RunState::kInherited);
   run.since = now;
   run.adopted = true;
   AddRun(worker, IdOf(job, place), std::move(run));
@@ -61,7 +62,7 @@
     const TaskPosition place{.occurrence = key.step.occurrence,
                              .step = key.step.step,
                              .index = key.index};
-    Worker* worker = this->HolderOf(placement.worker);
+    Worker* worker = this->FindHolder(placement.worker);
     const bool is_known = HasTask(job, place) && worker &&
                           worker->runs.contains(IdOf(job, place));
     if (is_known)
@@ -71,7 +72,7 @@
       this->InheritRun(job, place, placement.run, *worker, now);
     } else {
       job.progress.stopping.erase(key);
-      this->Changed(job);
+      this->MarkChanged(job);
     }
   }
 }
--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -27,7 +27,7 @@
 // So the stops wait until the record of the end stands.
 BOOST_AUTO_TEST_CASE(FailedJobStopsItsTasksOnceThatIsRecorded) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   jobs::Queue queue;
   queue.name = "queue";
@@ -42,7 +42,7 @@
   for (const int index : {0, 1}) {
     StartRun start = first;
     start.task.index = index;
-    bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+    bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   }
   bench.List("w",
              {.clock_ms = 0,
@@ -69,11 +69,11 @@
 // A cancel stands in the store before its owner hears of it.
 BOOST_AUTO_TEST_CASE(CancelledJobStopsItsTasksAtOnce) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   bench.AddJob("job", Bench::OneLastingTask());
   const StartRun start = bench.NextStart();
-  bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+  bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   bench.scheduler.CancelJob("job", bench.now);
   BOOST_TEST(Only<StopRun>(bench.scheduler.TakeActions()).size() == 1U);
 }
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -38,10 +38,10 @@
 
 }  // namespace
 
-void Scheduler::Listed(const jobs::WorkerLife& asked,
-                       const WorkerReport& listing,
-                       base::Micros now) {
-  Worker* answered = this->LifeThatAnswered(asked, listing.life, now);
+void Scheduler::WorkerReported(const jobs::WorkerLife& asked,
+                               const WorkerReport& listing,
+                               base::Micros now) {
+  Worker* answered = this->FindResponder(asked, listing.life, now);
   if (!answered)
     return;
   Worker& worker = *answered;
@@ -59,7 +59,7 @@
     // that died 3 s after a takeover had waited for 7 s more.
     if (!worker.has_foreign_lease)
       worker.lease_end =
-          std::min(worker.lease_end, now + this->limits.longest_grant);
+          std::min(worker.lease_end, now + this->limits.max_grant);
   }
   worker.listed = true;
   worker.failed_calls = 0;
@@ -68,32 +68,32 @@
   worker.listed_sent = worker.look_sent;
   worker.clock_ms = listing.clock_ms;
   worker.clock_read = now;
-  this->SettleLosses(worker, now);
+  this->ResolveLosses(worker, now);
   // 2. Ends before runs: a task that ended may be listed as running again.
   bool has_news = false;
   for (const ReportedEnd& end : listing.ended) {
     if (end.sequence <= worker.processed) {
-      this->NoteSkippedEnd(worker, end);
+      this->LogIgnoredEnd(worker, end);
       continue;
     }
-    this->TakeEnd(worker, end, now);
+    this->ProcessRunEnd(worker, end, now);
     worker.processed = end.sequence;
     has_news = true;
   }
   // 3. What runs there.
   for (const ReportedRun& run : listing.running)
-    this->TakeRunning(worker, run, now);
+    this->ProcessReportedRun(worker, run, now);
   // 4. What should, and is not listed.
-  this->SettleMissing(worker, listing, now);
-  this->MoveOffBadWorker(worker, now);
-  this->PaceFillers(worker);
-  this->Acknowledge(worker);
+  this->ResolveMissingRuns(worker, listing, now);
+  this->MigrateOffUnhealthyWorker(worker, now);
+  this->ThrottleFillers(worker);
+  this->AdvanceAcknowledged(worker);
   // Ends that it may not be told of yet are listed again at once.
   const bool repeats = worker.acknowledged > worker.told;
   worker.next_look = has_news || repeats ? now + kPauseAfterEnds : now;
 }
 
-void Scheduler::NoteSkippedEnd(const Worker& worker, const ReportedEnd& end) {
+void Scheduler::LogIgnoredEnd(const Worker& worker, const ReportedEnd& end) {
   const auto run = worker.runs.find(end.task);
   if (run == worker.runs.end() || run->second.number != end.run)
     return;
@@ -103,9 +103,9 @@
                     .last_end_sequence = worker.processed});
 }
 
-void Scheduler::TakeRunning(Worker& worker,
-                            const ReportedRun& listed,
-                            base::Micros now) {
+void Scheduler::ProcessReportedRun(Worker& worker,
+                                   const ReportedRun& listed,
+                                   base::Micros now) {
   const auto found = worker.runs.find(listed.task);
   if (found == worker.runs.end() || found->second.number != listed.run) {
     // An older run beside a newer one on the same worker is only ended.
@@ -130,7 +130,7 @@
     run.progressed = now;
   run.percent = listed.percent;
   run.load = listed.load;
-  this->WatchSuspect(worker, listed.task, run);
+  this->UpdateSuspicion(worker, listed.task, run);
   Job* job = this->FindJob(listed.task.job);
   if (!job || !HasTask(*job, PositionOf(listed.task)))
     return;
@@ -160,7 +160,7 @@
   run.progressed = now;
   run.load = listed.load;
   if (!job) {
-    this->HoldRun(worker, listed, now);
+    this->BufferRun(worker, listed, now);
     return;
   }
   const bool known = HasTask(*job, PositionOf(listed.task));
@@ -180,8 +180,7 @@
   run.is_held = !known;
   AddRun(worker, listed.task, run);
   // It runs, so it has a lease, whoever granted it.
-  worker.lease_end =
-      std::max(worker.lease_end, now + this->limits.longest_grant);
+  worker.lease_end = std::max(worker.lease_end, now + this->limits.max_grant);
   if (known) {
     Task& task = TaskAt(*job, PositionOf(listed.task));
     // What runs goes before what is only planned.
@@ -190,7 +189,7 @@
       const auto plan = other->second.runs.find(listed.task);
       if (plan != other->second.runs.end() &&
           plan->second.state == RunState::kPlanned)
-        this->VoidPlan(*job, PositionOf(listed.task));
+        this->CancelPlan(*job, PositionOf(listed.task));
     }
     const bool wanted =
         !job->finished() &&
@@ -207,7 +206,7 @@
       job->has_started = true;
       job->progress.placed[KeyOf(PositionOf(listed.task))] = {
           .worker = worker.info.life, .run = task.run};
-      this->Changed(*job);
+      this->MarkChanged(*job);
       return;
     }
     if (job->unsaved_failure > 0)
@@ -221,9 +220,9 @@
   this->Stop(worker, listed.task, now);
 }
 
-void Scheduler::SettleMissing(Worker& worker,
-                              const WorkerReport& listing,
-                              base::Micros now) {
+void Scheduler::ResolveMissingRuns(Worker& worker,
+                                   const WorkerReport& listing,
+                                   base::Micros now) {
   std::set<jobs::TaskId> listed;
   for (const ReportedRun& run : listing.running)
     listed.insert(run.task);
@@ -244,29 +243,29 @@
     // listed; one that was never there has no end.
     if (run.missing_since == base::Micros::zero())
       run.missing_since = worker.look_sent;
-    else if (worker.look_sent > run.missing_since + this->limits.stop_time)
+    else if (worker.look_sent > run.missing_since + this->limits.max_stop_time)
       over.emplace_back(task, run);
   }
   for (const auto& [task, run] : over) {
     RemoveRun(worker, task);
     Job* job = this->FindJob(task.job);
     if (run.possible_loss && job && HasTask(*job, PositionOf(task)))
-      this->NoteLoss(*job, PositionOf(task), run.possible_loss->life,
-                     run.possible_loss->loss, now);
-    this->TaskLost(task, run.number, now);
+      this->RecordLoss(*job, PositionOf(task), run.possible_loss->life,
+                       run.possible_loss->loss, now);
+    this->HandleLostRun(task, run.number, now);
   }
 }
 
 // What a call's outcome says of the worker and of this ownership. The worker,
 // or null if it is not known or its life is over.
-Worker* Scheduler::TakeOutcome(const jobs::WorkerLife& life,
-                               CommandOutcome outcome,
-                               base::Micros now) {
-  Worker* found = this->FindLife(life);
+Worker* Scheduler::ApplyCommandOutcome(const jobs::WorkerLife& life,
+                                       CommandOutcome outcome,
+                                       base::Micros now) {
+  Worker* found = this->FindIncarnation(life);
   if (!found)
     return nullptr;
   if (outcome == CommandOutcome::kOtherIncarnation) {
-    this->LifeIsOver(life, LossReason::kOtherIncarnation, now);
+    this->EndIncarnation(life, LossReason::kOtherIncarnation, now);
     return nullptr;
   }
   if (outcome == CommandOutcome::kFenced)
@@ -274,10 +273,10 @@
   return found;
 }
 
-void Scheduler::LookFailed(const jobs::WorkerLife& life,
+void Scheduler::PollFailed(const jobs::WorkerLife& life,
                            CommandOutcome outcome,
                            base::Micros now) {
-  Worker* found = this->TakeOutcome(life, outcome, now);
+  Worker* found = this->ApplyCommandOutcome(life, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
@@ -293,19 +292,19 @@
       now + std::min(kLookAgain * worker.failed_calls, kLookAgainMost);
 }
 
-void Scheduler::Started(const StartRun& order,
-                        CommandOutcome outcome,
-                        base::Micros now,
-                        std::int64_t clock_ms) {
-  Worker* found = this->HolderOf(order.worker);
+void Scheduler::StartAnswered(const StartRun& order,
+                              CommandOutcome outcome,
+                              base::Micros now,
+                              std::int64_t clock_ms) {
+  Worker* found = this->FindHolder(order.worker);
   // Another life answered: this one has not started it.
   if (outcome == CommandOutcome::kOtherIncarnation && found) {
     RemoveRun(*found, order.task);
-    this->TaskLost(order.task, order.run, now);
+    this->HandleLostRun(order.task, order.run, now);
   }
   // Else the run is a later life's by now, which the answer says nothing of.
   if (!found || found->info.life == order.worker)
-    found = this->TakeOutcome(order.worker, outcome, now);
+    found = this->ApplyCommandOutcome(order.worker, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
@@ -315,11 +314,10 @@
   Run& run = entry->second;
   Job* job = this->FindJob(order.task.job);
   if (worker.info.life != order.worker)
-    worker.lease_end =
-        std::max(worker.lease_end, now + this->limits.longest_lease);
+    worker.lease_end = std::max(worker.lease_end, now + this->limits.max_lease);
   if (outcome == CommandOutcome::kDone) {
     run.answered = now;
-    this->NoteClock(worker, order, run, clock_ms, now);
+    this->CheckClock(worker, order, run, clock_ms, now);
     worker.unanswered_starts = 0;
     if (job)
       job->has_started = true;
@@ -334,17 +332,17 @@
     NoteUnanswered(worker,
                    {.task = order.task, .run = order.run, .given_up = now});
     ++worker.failed_calls;
-    this->RestIfStartsAreLost(worker, now);
+    this->QuarantineIfStartsUnanswered(worker, now);
     return;
   }
   // It has not been carried out: the room is free, the task to be placed.
   RemoveRun(worker, order.task);
   if (job && HasTask(*job, PositionOf(order.task)))
-    this->TakeBackLastTry(*job, PositionOf(order.task), order.run);
+    this->RevokeLastTry(*job, PositionOf(order.task), order.run);
   if (outcome == CommandOutcome::kNotSent)
     ++worker.failed_calls;
   if (outcome == CommandOutcome::kBusy)
-    this->JudgeWorker(worker, true, now);
+    this->UpdateFailureRate(worker, true, now);
   if (outcome == CommandOutcome::kNoTicket && job &&
       HasTask(*job, PositionOf(order.task)))
     StepAt(*job, PositionOf(order.task)).advice.tickets.erase(order.worker);
@@ -352,15 +350,15 @@
       outcome == CommandOutcome::kLeaseExpired)
     worker.quarantined_until =
         std::max(worker.quarantined_until, now + kLookAgain);
-  this->TaskLost(order.task, order.run, now);
+  this->HandleLostRun(order.task, order.run, now);
 }
 
 // Whether the life that was listed has answered the start.
-void Scheduler::NoteClock(Worker& worker,
-                          const StartRun& order,
-                          Run& run,
-                          std::int64_t clock_ms,
-                          base::Micros now) {
+void Scheduler::CheckClock(Worker& worker,
+                           const StartRun& order,
+                           Run& run,
+                           std::int64_t clock_ms,
+                           base::Micros now) {
   if (worker.info.life != order.worker)
     return;
   worker.failed_calls = 0;
@@ -374,7 +372,7 @@
 }
 
 // A worker that answers looks and no starts would take task after task.
-void Scheduler::RestIfStartsAreLost(Worker& worker, base::Micros now) {
+void Scheduler::QuarantineIfStartsUnanswered(Worker& worker, base::Micros now) {
   if (++worker.unanswered_starts < kStartsUntilRest)
     return;
   worker.unanswered_starts = 0;
@@ -386,7 +384,7 @@
                   kStartsUntilRest, base::Seconds(kRest))});
 }
 
-bool Scheduler::StillWanted(const StartRun& order) const {
+bool Scheduler::IsStillNeeded(const StartRun& order) const {
   const Worker* worker = this->FindWorker(order.worker);
   if (!worker)
     return false;
@@ -408,7 +406,7 @@
   if (run.state == RunState::kPlanned) {
     const int number = run.number;
     RemoveRun(worker, task);
-    this->TaskLost(task, number, now);
+    this->HandleLostRun(task, number, now);
     return;
   }
   run.state = RunState::kStopping;
@@ -419,10 +417,10 @@
       StopRun{.worker = worker.info.life, .task = task, .run = run.number});
 }
 
-void Scheduler::Stopped(const StopRun& order,
-                        CommandOutcome outcome,
-                        base::Micros now) {
-  Worker* found = this->TakeOutcome(order.worker, outcome, now);
+void Scheduler::StopAnswered(const StopRun& order,
+                             CommandOutcome outcome,
+                             base::Micros now) {
+  Worker* found = this->ApplyCommandOutcome(order.worker, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
@@ -436,12 +434,12 @@
   run->second.stop_answered = now;
   // Its end is listed within the stop's time.
   if (!worker.look_in_flight)
-    worker.next_look =
-        std::min(worker.next_look, now + this->limits.stop_time + kStopSlack);
+    worker.next_look = std::min(worker.next_look,
+                                now + this->limits.max_stop_time + kStopSlack);
 }
 
 // Stops that got no answer, and starts whose fate is open.
-void Scheduler::DueStops(base::Micros now) {
+void Scheduler::IssueDueStops(base::Micros now) {
   for (auto& [id, worker] : this->workers) {
     for (auto& [task, run] : worker.runs) {
       const bool unanswered = run.state == RunState::kStopping &&
@@ -480,7 +478,7 @@
         TaskAt(*job, PositionOf(task)).lease_expired_at = now;
     }
     worker.runs_presumed_over = worker.runs_presumed_over || !worker.idle();
-    this->DropRuns(worker, LossReason::kLeaseExpired, now);
+    this->DropAllRuns(worker, LossReason::kLeaseExpired, now);
     if (!worker.announced && worker.failed_calls >= kCallsUntilSilent)
       forgotten.push_back(id);
   }
--- a/scheduler/looks.cc
+++ b/scheduler/looks.cc
@@ -73,19 +73,20 @@
 
 }  // namespace
 
-void Scheduler::Granted(const jobs::WorkerLife& life, base::Micros end) {
-  if (Worker* worker = this->FindLife(life))
+void Scheduler::LeaseGranted(const jobs::WorkerLife& life, base::Micros end) {
+  if (Worker* worker = this->FindIncarnation(life))
     worker->lease_end = std::max(worker->lease_end, end);
 }
 
-void Scheduler::LookGrants(const jobs::WorkerLife& life, base::Micros end) {
-  this->Granted(life, end);
-  if (Worker* worker = this->FindLife(life))
+void Scheduler::PollGrantsLease(const jobs::WorkerLife& life,
+                                base::Micros end) {
+  this->LeaseGranted(life, end);
+  if (Worker* worker = this->FindIncarnation(life))
     worker->look_grant = end;
 }
 
-void Scheduler::LookSent(const PollWorker& order, base::Micros now) {
-  Worker* worker = this->FindLife(order.worker);
+void Scheduler::PollSent(const PollWorker& order, base::Micros now) {
+  Worker* worker = this->FindIncarnation(order.worker);
   if (!worker)
     return;
   worker->look_in_flight = true;
@@ -94,11 +95,11 @@
   worker->look_sent = now;
 }
 
-void Scheduler::DueLooks(base::Micros now) {
+void Scheduler::IssueDuePolls(base::Micros now) {
   if (this->is_fenced)
     return;
   for (auto& [id, worker] : this->workers) {
-    this->Acknowledge(worker);
+    this->AdvanceAcknowledged(worker);
     // A silent worker is asked until it answers or its life is over: nothing
     // is placed on it before.
     const bool wanted = !worker.listed || !worker.idle() ||
@@ -115,7 +116,8 @@
       worker.next_look = now + kLookUnrecorded;
       const bool lease_lasts =
           worker.idle() || worker.leased_until - now > kLeastLease;
-      if (lease_lasts && now < worker.last_answer + this->limits.lease / 2)
+      if (lease_lasts &&
+          now < worker.last_answer + this->limits.lease_duration / 2)
         continue;
     }
     worker.look_in_flight = true;
--- a/scheduler/pacing.cc
+++ b/scheduler/pacing.cc
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-void Scheduler::PaceFillers(Worker& worker) {
+void Scheduler::ThrottleFillers(Worker& worker) {
   const double tail = WorstTail(worker);
   for (auto& [task, run] : worker.runs) {
     if (!run.fills || run.state != RunState::kRunning)
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -155,7 +155,7 @@
 
 }  // namespace
 
-bool Scheduler::Usable(const Worker& worker, base::Micros now) const {
+bool Scheduler::IsUsable(const Worker& worker, base::Micros now) const {
   return worker.listed && worker.recorded && worker.announced &&
          worker.is_described && !worker.is_in_doubt && !worker.info.draining &&
          worker.failed_calls == 0 && now >= worker.quarantined_until &&
@@ -164,19 +164,19 @@
 
 // A later owner may have renewed a lease that seems to be over here, unless the
 // store has confirmed this owner since.
-bool Scheduler::MayHaveBeenRenewed(const Job& job,
-                                   const TaskPosition& place) const {
+bool Scheduler::LeaseMayHaveBeenRenewed(const Job& job,
+                                        const TaskPosition& place) const {
   const StepState& runs = StepAt(job, place);
   const bool gang = StepOf(job, place).gang;
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
     const bool counts = gang || static_cast<int>(i) == place.index;
-    if (counts && runs.tasks[i].lease_expired_at > this->confirmed)
+    if (counts && runs.tasks[i].lease_expired_at > this->confirmed_at)
       return true;
   }
   return false;
 }
 
-int Scheduler::NextRun(const Job& job, const TaskPosition& place) const {
+int Scheduler::NextRunNumber(const Job& job, const TaskPosition& place) const {
   const StepState& runs = StepAt(job, place);
   int newest = 0;
   // The members of a gang share the number.
@@ -191,7 +191,7 @@
   return std::max(newest + 1, first);
 }
 
-void Scheduler::Place(base::Micros now) {
+void Scheduler::PlaceTasks(base::Micros now) {
   this->quotas.BeginTurn();
   for (auto& [service, tasks] : this->ready) {
     if (!tasks.empty())
@@ -203,23 +203,23 @@
                           ReadyTasks& tasks,
                           base::Micros now) {
   // 1. The pool's workers that may take something.
-  PoolTurn turn;
+  PlacementPass turn;
   for (auto& [id, worker] : this->workers) {
-    if (worker.info.service == service && this->Usable(worker, now))
+    if (worker.info.service == service && this->IsUsable(worker, now))
       turn.candidates.push_back(&worker);
   }
   if (turn.candidates.empty())
     return;
   // 2. Its tasks, by what may still come of them.
   tasks.Try(now, [&](const ReadyTask& task) {
-    return this->TryTask(task, turn, now);
+    return this->TryPlace(task, turn, now);
   });
 }
 
 // Equal tasks of a step that fits nowhere are passed over.
-ReadyTasks::Tried Scheduler::TryTask(const ReadyTask& task,
-                                     PoolTurn& turn,
-                                     base::Micros now) {
+ReadyTasks::Tried Scheduler::TryPlace(const ReadyTask& task,
+                                      PlacementPass& turn,
+                                      base::Micros now) {
   using Tried = ReadyTasks::Tried;
   if (turn.misses >= kMissesATurn)
     return Tried::kStop;
@@ -229,18 +229,18 @@
   if (!wanted)
     return Tried::kUnwanted;
   const auto step = std::make_pair(&job, task.place.step);
-  const auto nowhere = turn.nowhere.find(step);
-  if (nowhere != turn.nowhere.end()) {
+  const auto nowhere = turn.unplaceable_steps.find(step);
+  if (nowhere != turn.unplaceable_steps.end()) {
     TaskAt(job, task.place).wait_reason = nowhere->second;
     return Tried::kStays;
   }
   const Suspicion suspicion = this->SuspicionOfStart(job, task.place, now);
   if (suspicion == Suspicion::kCause) {
-    this->GiveUpCauses(job, now);
+    this->GiveUpCrashingTasks(job, now);
     return Tried::kUnwanted;
   }
   const std::optional<WaitReason> reason =
-      this->PlaceOne(task, suspicion, turn.candidates, now);
+      this->PlaceTask(task, suspicion, turn.candidates, now);
   if (!reason)
     return Tried::kPlaced;
   TaskAt(job, task.place).wait_reason = *reason;
@@ -250,13 +250,13 @@
       *reason == WaitReason::kQuota || *reason == WaitReason::kSuspect;
   if (is_its_own)
     return Tried::kStays;
-  turn.nowhere[step] = *reason;
+  turn.unplaceable_steps[step] = *reason;
   ++turn.misses;
   return Tried::kStays;
 }
 
 // Why it has not been placed; nothing if it has.
-std::optional<WaitReason> Scheduler::PlaceOne(
+std::optional<WaitReason> Scheduler::PlaceTask(
     const ReadyTask& ready_task,
     Suspicion suspicion,
     const std::vector<Worker*>& candidates,
@@ -267,27 +267,27 @@
     return WaitReason::kSuspect;
   if (!this->quotas.Allows(job.organisation, NeededBy(step)))
     return WaitReason::kQuota;
-  if (this->MayHaveBeenRenewed(job, ready_task.place))
+  if (this->LeaseMayHaveBeenRenewed(job, ready_task.place))
     return WaitReason::kLease;
   if (job.queue.advice.required &&
-      !this->HasAdvice(job, ready_task.place, candidates, now))
+      !this->EnsureAdvice(job, ready_task.place, candidates, now))
     return WaitReason::kAdvice;
-  const std::vector<Choice> choices =
-      this->ChooseFor(job, ready_task.place, candidates, now);
+  const std::vector<Assignment> choices =
+      this->ChooseWorkers(job, ready_task.place, candidates, now);
   if (choices.empty() && suspicion == Suspicion::kProbe)
     return WaitReason::kSuspect;
   if (choices.empty())
-    return this->SuitsSomeWorker(step) ? WaitReason::kCapacity
-                                       : WaitReason::kNoSuitableWorker;
-  const int run = this->NextRun(job, ready_task.place);
-  for (const Choice& choice : choices)
-    this->Plan(job, choice, run, now);
+    return this->HasSuitableWorker(step) ? WaitReason::kCapacity
+                                         : WaitReason::kNoSuitableWorker;
+  const int run = this->NextRunNumber(job, ready_task.place);
+  for (const Assignment& choice : choices)
+    this->PlanRun(job, choice, run, now);
   return std::nullopt;
 }
 
 // Has any worker, of whatever pool, its label and, empty, room for it? Of boxes
 // at rest it is not known.
-bool Scheduler::SuitsSomeWorker(const jobs::Step& step) const {
+bool Scheduler::HasSuitableWorker(const jobs::Step& step) const {
   const bool has_spares =
       std::any_of(this->config.services.begin(), this->config.services.end(),
                   [](const jobs::Service& service) { return service.spare; });
@@ -302,7 +302,7 @@
 
 // One worker for a task, or one for each member of a gang; nothing if it, or
 // any member, fits nowhere.
-std::vector<Scheduler::Choice> Scheduler::ChooseFor(
+std::vector<Scheduler::Assignment> Scheduler::ChooseWorkers(
     const Job& job,
     const TaskPosition& place,
     const std::vector<Worker*>& candidates,
@@ -311,7 +311,7 @@
   const StepState& runs = StepAt(job, place);
   const jobs::Resources takes = ReservedBy(step);
   const StepSpread spread(step, runs, this->workers);
-  std::vector<Choice> choices;
+  std::vector<Assignment> choices;
   std::map<const Worker*, GangShare> given;  // to earlier members of the gang
   const int first = step.gang ? 0 : place.index;
   const int last =
@@ -385,10 +385,10 @@
   return choices;
 }
 
-Run Scheduler::RunOf(const Job& job,
-                     const jobs::Step& step,
-                     int number,
-                     RunState state) {
+Run Scheduler::MakeRun(const Job& job,
+                       const jobs::Step& step,
+                       int number,
+                       RunState state) {
   Run run{.number = number, .state = state};
   run.takes = ReservedBy(step);
   run.counts = step.each;
@@ -400,10 +400,10 @@
   return run;
 }
 
-void Scheduler::Plan(Job& job,
-                     const Choice& choice,
-                     int run_number,
-                     base::Micros now) {
+void Scheduler::PlanRun(Job& job,
+                        const Assignment& choice,
+                        int run_number,
+                        base::Micros now) {
   const jobs::Step& step = StepOf(job, choice.place);
   Task& task = TaskAt(job, choice.place);
   Worker& worker = *choice.worker;
@@ -417,21 +417,21 @@
   task.run = run_number;
   task.latest_run = run_number;
   task.is_serving = false;
-  Run run = this->RunOf(job, step, run_number, RunState::kPlanned);
+  Run run = this->MakeRun(job, step, run_number, RunState::kPlanned);
   run.since = now;
   run.suspicion = this->SuspicionOf(job, choice.place, now);
-  this->NoteLastTry(job, choice.place, run_number);
+  this->RecordLastTry(job, choice.place, run_number);
   const jobs::TaskId id = IdOf(job, choice.place);
   AddRun(worker, id, std::move(run));
   job.progress.placed[KeyOf(choice.place)] = {.worker = worker.info.life,
                                               .run = run_number};
-  this->Changed(job);
-  this->save_now = true;
+  this->MarkChanged(job);
+  this->save_immediately = true;
   job.pending_starts.push_back(
       {.place = choice.place, .run = run_number, .change = job.change});
 }
 
-void Scheduler::StartSaved(Job& job, base::Micros now) {
+void Scheduler::StartSavedPlacements(Job& job, base::Micros now) {
   std::vector<PendingStart> later;
   for (const PendingStart& start : std::exchange(job.pending_starts, {})) {
     if (start.change > job.saved_change) {
@@ -449,9 +449,9 @@
     if (run == worker.runs.end() || run->second.state != RunState::kPlanned)
       continue;
     // The worker may have drained, died or lost room since the plan.
-    if (!this->Usable(worker, now) || !HasRoomForAll(worker)) {
+    if (!this->IsUsable(worker, now) || !HasRoomForAll(worker)) {
       RemoveRun(worker, id);
-      this->TaskLost(id, start.run, now);
+      this->HandleLostRun(id, start.run, now);
       continue;
     }
     run->second.state = RunState::kStarting;
--- a/scheduler/pool_state.cc
+++ b/scheduler/pool_state.cc
@@ -48,7 +48,7 @@
     PoolState& state = states[worker.info.service];
     state.pool = worker.info.service;
     ++state.boxes;
-    state.usable += this->Usable(worker, now);
+    state.usable += this->IsUsable(worker, now);
     state.leaving += this->fleet.IsLeaving(worker.info.box);
     state.idle += worker.idle();
     state.pinned += worker.lasting > 0;
@@ -92,7 +92,7 @@
 }
 
 // A worker's first label is its kind.
-std::vector<std::string> Scheduler::Kinds() const {
+std::vector<std::string> Scheduler::BoxKinds() const {
   std::set<std::string> kinds;
   for (const auto& [id, worker] : this->workers) {
     if (!worker.info.labels.empty())
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Scheduler::Scheduler(const Limits& chosen)
+Scheduler::Scheduler(const SchedulerLimits& chosen)
     : limits(chosen), due_shares(chosen.shards), fleet(chosen.fleet) {}
 
 // --- Configuration and workers ---
@@ -42,14 +42,14 @@
 
 void Scheduler::WorkersRecorded(const std::vector<jobs::WorkerLife>& lives) {
   for (const jobs::WorkerLife& life : lives) {
-    if (Worker* worker = this->FindLife(life))
+    if (Worker* worker = this->FindIncarnation(life))
       worker->recorded = true;
   }
 }
 
-void Scheduler::Confirmed(base::Micros at, base::Micros until) {
-  this->confirmed = std::max(this->confirmed, at);
-  this->certain_until = std::max(this->certain_until, until);
+void Scheduler::OwnershipConfirmed(base::Micros at, base::Micros until) {
+  this->confirmed_at = std::max(this->confirmed_at, at);
+  this->ownership_until = std::max(this->ownership_until, until);
 }
 
 // --- Jobs ---
@@ -69,12 +69,12 @@
     job.queue = *queue;
   if (job.finished()) {
     this->InheritRuns(job, now);
-    this->MeetJob(job, now);
+    this->ApplyBufferedReports(job, now);
     return;
   }
   job.exceeds_share = !this->due_shares.Take(job.organisation, now);
   if (job.spec.repeats > 0)
-    this->timed.insert(job.id);
+    this->repeating_jobs.insert(job.id);
   double core_seconds = 0.0;
   for (const jobs::Step& step : job.spec.steps) {
     if (step.lasting || step.fills)
@@ -85,7 +85,7 @@
   this->demand.HandedIn(job.queue.name, core_seconds, now);
   this->InheritLosses(job, now);
   this->InheritRuns(job, now);
-  this->MeetJob(job, now);
+  this->ApplyBufferedReports(job, now);
   this->Release(job, now);
 }
 
@@ -95,7 +95,7 @@
     return;
   job->cancelled = true;
   this->actions.emplace_back(LogNote{id, "cancelled by its caller"});
-  this->Finish(*job, jobs::JobState::kCancelled, now);
+  this->FinishJob(*job, jobs::JobState::kCancelled, now);
 }
 
 void Scheduler::Release(Job& job, base::Micros now) {
@@ -103,11 +103,12 @@
     this->Enqueue(job, place, now);
 }
 
-void Scheduler::ReleaseDue(base::Micros now) {
-  for (auto it = this->timed.begin(); it != this->timed.end();) {
+void Scheduler::ReleaseDueRepeats(base::Micros now) {
+  for (auto it = this->repeating_jobs.begin();
+       it != this->repeating_jobs.end();) {
     Job* job = this->FindJob(*it);
     if (!job || job->finished()) {
-      it = this->timed.erase(it);
+      it = this->repeating_jobs.erase(it);
       continue;
     }
     this->Release(*job, now);
@@ -156,7 +157,7 @@
 void Scheduler::Enqueue(Job& job, const TaskPosition& place, base::Micros now) {
   constexpr int kOfUseTimes = 4;
   if (!job.progress.losses.empty())
-    this->GiveUpCauses(job, now);
+    this->GiveUpCrashingTasks(job, now);
   Task& task = TaskAt(job, place);
   if (job.finished() || task.state == TaskState::kGivenUp)
     return;
@@ -178,26 +179,26 @@
                                        : Prospect::kWaiting,
        .in_time = lasting ? now : since + objective - left,
        .of_use = since + kOfUseTimes * objective - left,
-       .number = ++this->ready_number,
+       .number = ++this->last_ready_number,
        .job = &job,
        .place = place});
 }
 
-void Scheduler::Changed(Job& job) {
+void Scheduler::MarkChanged(Job& job) {
   ++job.change;
-  this->to_save.insert(job.id);
+  this->jobs_to_save.insert(job.id);
 }
 
-void Scheduler::Finish(Job& job, jobs::JobState state, base::Micros now) {
+void Scheduler::FinishJob(Job& job, jobs::JobState state, base::Micros now) {
   job.progress.state = state;
-  this->Changed(job);
-  this->save_now = true;
+  this->MarkChanged(job);
+  this->save_immediately = true;
   // A later owner that does not know of the failure takes a task whose run is
   // being stopped for free, and starts it beside that run.
   if (state == jobs::JobState::kFailed)
     job.unsaved_failure = job.change;
   else
-    this->StopAll(job, now);
+    this->StopAllRuns(job, now);
   this->actions.emplace_back(JobFinished{.job = job.id,
                                          .queue = job.queue.name,
                                          .state = state,
@@ -206,7 +207,7 @@
                                          .timings = job.timings});
 }
 
-void Scheduler::StopAll(Job& job, base::Micros now) {
+void Scheduler::StopAllRuns(Job& job, base::Micros now) {
   for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
     for (std::size_t s = 0; s < job.occurrences[k].steps.size(); ++s) {
       StepState& runs = job.occurrences[k].steps[s];
@@ -226,21 +227,22 @@
   }
 }
 
-void Scheduler::SaveChanged(base::Micros now) {
-  if (this->to_save.empty() || (now < this->next_save && !this->save_now))
+void Scheduler::SaveChangedJobs(base::Micros now) {
+  if (this->jobs_to_save.empty() ||
+      (now < this->next_save && !this->save_immediately))
     return;
   // A later owner's row stands: what it holds has not been taken in here.
   if (this->is_fenced)
     return;
   this->next_save = now + kSavePeriod;
-  this->save_now = false;
-  for (auto it = this->to_save.begin(); it != this->to_save.end();) {
+  this->save_immediately = false;
+  for (auto it = this->jobs_to_save.begin(); it != this->jobs_to_save.end();) {
     Job* job = this->FindJob(*it);
     if (job && job->save_in_flight) {
       ++it;
       continue;
     }
-    it = this->to_save.erase(it);
+    it = this->jobs_to_save.erase(it);
     if (!job)
       continue;
     job->save_in_flight = true;
@@ -253,7 +255,7 @@
   }
 }
 
-void Scheduler::Saved(const SaveResult& result, base::Micros now) {
+void Scheduler::ProgressSaved(const SaveResult& result, base::Micros now) {
   Job* job = this->FindJob(result.job);
   if (!job)
     return;
@@ -262,25 +264,25 @@
     case SaveOutcome::kSaved:
       job->version = result.version;
       job->saved_change = std::max(job->saved_change, result.change);
-      this->StartSaved(*job, now);
+      this->StartSavedPlacements(*job, now);
       if (job->unsaved_failure > 0 &&
           job->saved_change >= job->unsaved_failure) {
         job->unsaved_failure = 0;
-        this->StopAll(*job, now);
+        this->StopAllRuns(*job, now);
       }
       break;
     case SaveOutcome::kConflict:
       // Another owner, or an own write that was thought lost, came first.
       job->version = result.version;
       if (result.stored)
-        this->TakeStored(*job, *result.stored, now);
-      this->Changed(*job);
+        this->MergeStoredProgress(*job, *result.stored, now);
+      this->MarkChanged(*job);
       break;
     case SaveOutcome::kFailed:
-      this->to_save.insert(job->id);
+      this->jobs_to_save.insert(job->id);
       this->next_save = now + kSavePeriod;
       break;
-    case SaveOutcome::kRefused:
+    case SaveOutcome::kRejected:
       job->rejected_change = result.change;
       this->actions.emplace_back(
           LogNote{job->id, "the store does not take its progress"});
@@ -288,12 +290,12 @@
   }
   // What was refused is tried again once it has changed.
   if (job->change != job->saved_change && job->change != job->rejected_change)
-    this->to_save.insert(job->id);
+    this->jobs_to_save.insert(job->id);
 }
 
-void Scheduler::TakeStored(Job& job,
-                           const jobs::Progress& stored,
-                           base::Micros now) {
+void Scheduler::MergeStoredProgress(Job& job,
+                                    const jobs::Progress& stored,
+                                    base::Micros now) {
   std::vector<TaskPosition> voided;
   for (const auto& [key, placement] : stored.placed) {
     const TaskPosition place{.occurrence = key.step.occurrence,
@@ -309,10 +311,10 @@
     }
     const bool is_news = epoch < this->limits.epoch &&
                          placement.run > TaskAt(job, place).inherited_run;
-    if (is_news && this->TakeLatePlacement(job, place, placement))
+    if (is_news && this->ApplyLatePlacement(job, place, placement))
       voided.push_back(place);
-    if (is_news && !this->HolderOf(placement.worker))
-      this->NoteUnseenLoss(job, place, placement, now);
+    if (is_news && !this->FindHolder(placement.worker))
+      this->RecordUnobservedLoss(job, place, placement, now);
   }
   const bool was_final = job.finished();
   job.progress = jobs::Merge(job.progress, stored);
@@ -323,16 +325,16 @@
                                .index = static_cast<int>(i)};
       if (bits[i] && HasTask(job, place) &&
           TaskAt(job, place).state != TaskState::kDone)
-        this->TaskDone(job, place, now);
+        this->MarkTaskDone(job, place, now);
     }
   }
   if (job.finished() && !was_final)
-    this->StopAll(job, now);
+    this->StopAllRuns(job, now);
   // With the failures that the other writer knew there may be enough.
   if (!job.finished() && HasExhaustedAttempts(job))
-    this->Finish(job, jobs::JobState::kFailed, now);
+    this->FinishJob(job, jobs::JobState::kFailed, now);
   this->InheritLosses(job, now);
-  for (const TaskPosition& place : this->VoidSuspectPlans(job, stored, now))
+  for (const TaskPosition& place : this->CancelSuspectPlans(job, stored, now))
     voided.push_back(place);
   this->InheritRuns(job, now);
   for (const TaskPosition& place : voided) {
@@ -343,23 +345,23 @@
 
 // An earlier owner's placement came to light after this owner read the job: its
 // write was on its way. True if it voids what this owner had planned.
-bool Scheduler::TakeLatePlacement(Job& job,
-                                  const TaskPosition& place,
-                                  const jobs::Placement& placement) {
+bool Scheduler::ApplyLatePlacement(Job& job,
+                                   const TaskPosition& place,
+                                   const jobs::Placement& placement) {
   Task& task = TaskAt(job, place);
   task.inherited_run = placement.run;
-  const Worker* worker = this->HolderOf(placement.worker);
+  const Worker* worker = this->FindHolder(placement.worker);
   // A worker that has been listed under this epoch showed the run then, or
   // refuses it for good.
   if (!worker || worker->listed || task.state == TaskState::kDone)
     return false;
-  this->VoidPlan(job, place);
+  this->CancelPlan(job, place);
   job.progress.placed[KeyOf(place)] = placement;
   return task.state == TaskState::kReady;
 }
 
 // Gives up a run whose worker has not been told.
-void Scheduler::VoidPlan(Job& job, const TaskPosition& place) {
+void Scheduler::CancelPlan(Job& job, const TaskPosition& place) {
   Task& task = TaskAt(job, place);
   std::erase_if(job.pending_starts, [&place](const PendingStart& start) {
     return start.place == place;
@@ -388,16 +390,16 @@
 
 void Scheduler::Advance(base::Micros now) {
   this->ExpireLeases(now);
-  this->ReleaseDue(now);
+  this->ReleaseDueRepeats(now);
   if (!this->is_fenced && this->LeaseEnd(now) > now)
-    this->Place(now);
+    this->PlaceTasks(now);
   // A placement fails by its row's version when another owner has come; nothing
   // refuses a call for a box that the other one has not called yet.
-  if (!this->is_fenced && now < this->certain_until)
+  if (!this->is_fenced && now < this->ownership_until)
     this->RunFleet(now);
-  this->DueStops(now);
-  this->DueLooks(now);
-  this->SaveChanged(now);
+  this->IssueDueStops(now);
+  this->IssueDuePolls(now);
+  this->SaveChangedJobs(now);
 }
 
 bool Scheduler::KnowsAllRuns(base::Micros now) const {
@@ -413,12 +415,13 @@
 }
 
 base::Micros Scheduler::LeaseEnd(base::Micros now) const {
-  return std::min(now + this->limits.lease,
-                  this->confirmed + this->limits.grant_bound);
+  return std::min(
+      now + this->limits.lease_duration,
+      this->confirmed_at + this->limits.max_lease_after_confirmation);
 }
 
-std::int64_t Scheduler::Deadline(const jobs::WorkerLife& worker,
-                                 base::Micros end) const {
+std::int64_t Scheduler::LeaseDeadline(const jobs::WorkerLife& worker,
+                                      base::Micros end) const {
   const Worker* known = this->FindWorker(worker);
   return known ? DeadlineFor(*known, end) : 0;
 }
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -36,16 +36,17 @@
 
 namespace quartzhoist::scheduler {
 
-struct Limits {
-  base::Micros lease{};        // granted to workers at a time
-  base::Micros grant_bound{};  // no lease lasts longer after a confirmation
+struct SchedulerLimits {
+  base::Micros lease_duration{};                // granted to workers at a time
+  base::Micros max_lease_after_confirmation{};  // no lease lasts longer after a
+                                                // confirmation
   // No order grants more than this, on any clock.
-  base::Micros longest_grant{};
+  base::Micros max_grant{};
   // Workers cut any grant to this, on any clock.
-  base::Micros longest_lease{};
-  base::Micros stop_time{};  // a stop takes at most so long
-  std::uint64_t epoch = 1;   // of this ownership, from 1
-  int shards = 1;            // over which the jobs are spread
+  base::Micros max_lease{};
+  base::Micros max_stop_time{};  // a stop takes at most so long
+  std::uint64_t epoch = 1;       // of this ownership, from 1
+  int shards = 1;                // over which the jobs are spread
   // Lists every box, and says which boxes a wave covers.
   FleetLimits fleet;
 };
@@ -53,8 +54,8 @@
 enum class SaveOutcome {
   kSaved,
   kConflict,
-  kFailed,   // to be tried again
-  kRefused,  // cannot be saved as it is
+  kFailed,    // to be tried again
+  kRejected,  // cannot be saved as it is
 };
 
 struct SaveResult {
@@ -68,13 +69,13 @@
 
 class Scheduler {
  public:
-  explicit Scheduler(const Limits& limits);
+  explicit Scheduler(const SchedulerLimits& limits);
 
   // --- Facts about configuration and workers ---
   void SetConfig(const jobs::Config& config, base::Micros now);
-  void PutWorker(const WorkerInfo& info, base::Micros now);
+  void UpdateWorker(const WorkerInfo& info, base::Micros now);
   // Its announcement is gone; it may still run what it has.
-  void WorkerUnlisted(const std::string& id, base::Micros now);
+  void WorkerDeregistered(const std::string& id, base::Micros now);
   // A worker that an earlier owner may have granted a lease until then. Until
   // it has been listed and recorded anew, this owner grants it none.
   void InheritWorker(const WorkerInfo& info, base::Micros lease_end);
@@ -86,38 +87,40 @@
   }
   // A store answer confirmed the ownership; `at` is when it was asked. Nobody
   // else takes over before `certain_until`.
-  void Confirmed(base::Micros at, base::Micros certain_until);
+  void OwnershipConfirmed(base::Micros at, base::Micros certain_until);
 
   // --- Facts about jobs ---
   void AddJob(Job&& added, base::Micros now);
   void CancelJob(const std::string& id, base::Micros now);
   // The answer to ReadJob, where nothing of the job is to run any more.
-  void JobIsOver(const std::string& id, base::Micros now);
-  void Saved(const SaveResult& result, base::Micros now);
+  void UnknownJobIsOver(const std::string& id, base::Micros now);
+  void ProgressSaved(const SaveResult& result, base::Micros now);
 
   // --- What came of actions ---
   // `asked` is the life that was meant; another may have answered.
-  void Listed(const jobs::WorkerLife& asked,
-              const WorkerReport& listing,
-              base::Micros now);
-  void LookFailed(const jobs::WorkerLife& worker,
+  void WorkerReported(const jobs::WorkerLife& asked,
+                      const WorkerReport& listing,
+                      base::Micros now);
+  void PollFailed(const jobs::WorkerLife& worker,
                   CommandOutcome outcome,
                   base::Micros now);
   // `clock_ms` is the worker's clock, as its answer gave it; 0: not known.
-  void Started(const StartRun& order,
-               CommandOutcome outcome,
-               base::Micros now,
-               std::int64_t clock_ms = 0);
-  void Stopped(const StopRun& order, CommandOutcome outcome, base::Micros now);
+  void StartAnswered(const StartRun& order,
+                     CommandOutcome outcome,
+                     base::Micros now,
+                     std::int64_t clock_ms = 0);
+  void StopAnswered(const StopRun& order,
+                    CommandOutcome outcome,
+                    base::Micros now);
   // The answer to AskAdvice, or nothing if there was none.
-  void Advised(const RequestAdvice& asked,
-               const std::optional<Advice>& advice,
-               base::Micros now);
+  void AdviceAnswered(const RequestAdvice& asked,
+                      const std::optional<Advice>& advice,
+                      base::Micros now);
   // An order that grants a lease until `end` is about to be sent.
-  void Granted(const jobs::WorkerLife& worker, base::Micros end);
-  void LookSent(const PollWorker& order, base::Micros now);
+  void LeaseGranted(const jobs::WorkerLife& worker, base::Micros end);
+  void PollSent(const PollWorker& order, base::Micros now);
   // The look that is sent now grants a lease until `end`.
-  void LookGrants(const jobs::WorkerLife& worker, base::Micros end);
+  void PollGrantsLease(const jobs::WorkerLife& worker, base::Micros end);
 
   // --- Boxes ---
   // What an earlier owner recorded before it called; told before anything else.
@@ -128,10 +131,12 @@
   void SetBoxes(const std::vector<BoxInfo>& boxes,
                 base::Micros asked,
                 base::Micros now);
-  void Moved(const MoveBox& order, BoxCallOutcome outcome, base::Micros now);
-  void UpkeepBegun(const MaintainBox& order,
-                   BoxCallOutcome outcome,
-                   base::Micros now);
+  void MoveAnswered(const MoveBox& order,
+                    BoxCallOutcome outcome,
+                    base::Micros now);
+  void MaintenanceAnswered(const MaintainBox& order,
+                           BoxCallOutcome outcome,
+                           base::Micros now);
 
   // Lets time pass: leases run out, tasks are placed, looks fall due.
   void Advance(base::Micros now);
@@ -140,11 +145,12 @@
   // --- Queries
   // ----------------------------------------------------------------- Is the
   // order still to be sent? Its run may have been given up meanwhile.
-  bool StillWanted(const StartRun& order) const;
+  bool IsStillNeeded(const StartRun& order) const;
   // When a lease granted now is to end, on our clock.
   base::Micros LeaseEnd(base::Micros now) const;
   // A worker's deadline for a lease until `end`, on the worker's clock.
-  std::int64_t Deadline(const jobs::WorkerLife& worker, base::Micros end) const;
+  std::int64_t LeaseDeadline(const jobs::WorkerLife& worker,
+                             base::Micros end) const;
   const Worker* FindWorker(const jobs::WorkerLife& life) const;
   // The life that is known under the id.
   const Worker* FindWorker(const std::string& id) const;
@@ -156,7 +162,7 @@
   }
   // Rises when a worker comes, goes, or is listed for the first time.
   std::uint64_t worker_changes() const { return this->worker_change_count; }
-  bool wants_boxes() const { return this->fleet.WantsBoxes(); }
+  bool needs_box_list() const { return this->fleet.WantsBoxes(); }
   // A call for the box is to be made, or its outcome is not known.
   bool HasOpenBoxCall(const std::string& box) const {
     return this->fleet.HasOpenCall(box);
@@ -174,19 +180,19 @@
   // all that runs is known.
   bool KnowsAllRuns(base::Micros now) const;
   // Kinds of boxes, by their workers' labels.
-  std::vector<std::string> Kinds() const;
+  std::vector<std::string> BoxKinds() const;
 
  private:
   // One turn of a pool: its workers, and what was tried in vain.
-  struct PoolTurn {
+  struct PlacementPass {
     std::vector<Worker*> candidates;
     // Steps that cannot be placed, and why.
-    std::map<std::pair<const Job*, int>, WaitReason> nowhere;
+    std::map<std::pair<const Job*, int>, WaitReason> unplaceable_steps;
     int misses = 0;
   };
 
   // A member of a step, and the worker picked for it.
-  struct Choice {
+  struct Assignment {
     TaskPosition place;
     Worker* worker = nullptr;
   };
@@ -199,155 +205,162 @@
   base::Micros ExpectedRun(const Job& job, const jobs::Step& step) const;
   // From acceptance on, for all of its steps.
   base::Micros ObjectiveOf(const Job& job) const;
-  void Changed(Job& job);
-  void Finish(Job& job, jobs::JobState state, base::Micros now);
-  void StopAll(Job& job, base::Micros now);
-  void SaveChanged(base::Micros now);
-  void ReleaseDue(base::Micros now);
+  void MarkChanged(Job& job);
+  void FinishJob(Job& job, jobs::JobState state, base::Micros now);
+  void StopAllRuns(Job& job, base::Micros now);
+  void SaveChangedJobs(base::Micros now);
+  void ReleaseDueRepeats(base::Micros now);
 
   // ends
-  void TakeEnd(Worker& worker, const ReportedEnd& end, base::Micros now);
-  void TakeFate(Job& job,
-                const jobs::WorkerLife& worker,
-                const ReportedEnd& end,
-                base::Micros now);
-  void TaskDone(Job& job, const TaskPosition& place, base::Micros now);
-  void TaskFailed(Job& job,
-                  const TaskPosition& place,
-                  int run,
-                  const jobs::WorkerLife& worker,
-                  base::Micros now);
+  void ProcessRunEnd(Worker& worker, const ReportedEnd& end, base::Micros now);
+  void ApplyRunEnd(Job& job,
+                   const jobs::WorkerLife& worker,
+                   const ReportedEnd& end,
+                   base::Micros now);
+  void MarkTaskDone(Job& job, const TaskPosition& place, base::Micros now);
+  void RecordTaskFailure(Job& job,
+                         const TaskPosition& place,
+                         int run,
+                         const jobs::WorkerLife& worker,
+                         base::Micros now);
   // The run is over and did not finish the task: it is to be placed again.
-  void TaskLost(const jobs::TaskId& id, int run, base::Micros now);
-  void PaceFillers(Worker& worker);
-  void MoveOffBadWorker(Worker& worker, base::Micros now);
-  bool IsCrawling(const Job& job,
-                  const jobs::TaskId& id,
-                  const Run& run,
-                  base::Micros now) const;
-  void MoveOff(Worker& worker,
-               const jobs::TaskId& id,
-               const char* why,
-               base::Micros now);
-  void JudgeWorker(Worker& worker, bool failed, base::Micros now);
+  void HandleLostRun(const jobs::TaskId& id, int run, base::Micros now);
+  void ThrottleFillers(Worker& worker);
+  void MigrateOffUnhealthyWorker(Worker& worker, base::Micros now);
+  bool IsSlow(const Job& job,
+              const jobs::TaskId& id,
+              const Run& run,
+              base::Micros now) const;
+  void MigrateTask(Worker& worker,
+                   const jobs::TaskId& id,
+                   const char* why,
+                   base::Micros now);
+  void UpdateFailureRate(Worker& worker, bool failed, base::Micros now);
 
   // workers that were lost under tasks
-  std::map<jobs::TaskId, jobs::WorkerLoss> LossesUnder(
+  std::map<jobs::TaskId, jobs::WorkerLoss> CollectLosses(
       const Worker& worker,
       const std::map<jobs::TaskId, Run>& runs,
       LossReason sign);
-  void NoteLoss(Job& job,
-                const TaskPosition& place,
-                const jobs::WorkerLife& life,
-                const jobs::WorkerLoss& loss,
-                base::Micros now);
-  void NoteUnseenLoss(Job& job,
-                      const TaskPosition& place,
-                      const jobs::Placement& placement,
-                      base::Micros now);
-  std::vector<TaskPosition> VoidSuspectPlans(Job& job,
-                                             const jobs::Progress& stored,
-                                             base::Micros now);
-  void NoteLastTry(Job& job, const TaskPosition& place, int run);
-  void TakeBackLastTry(Job& job, const TaskPosition& place, int run);
+  void RecordLoss(Job& job,
+                  const TaskPosition& place,
+                  const jobs::WorkerLife& life,
+                  const jobs::WorkerLoss& loss,
+                  base::Micros now);
+  void RecordUnobservedLoss(Job& job,
+                            const TaskPosition& place,
+                            const jobs::Placement& placement,
+                            base::Micros now);
+  std::vector<TaskPosition> CancelSuspectPlans(Job& job,
+                                               const jobs::Progress& stored,
+                                               base::Micros now);
+  void RecordLastTry(Job& job, const TaskPosition& place, int run);
+  void RevokeLastTry(Job& job, const TaskPosition& place, int run);
   void InheritLosses(Job& job, base::Micros now);
-  void SettleLosses(const Worker& worker, base::Micros now);
-  void GiveUpCauses(Job& job, base::Micros now);
+  void ResolveLosses(const Worker& worker, base::Micros now);
+  void GiveUpCrashingTasks(Job& job, base::Micros now);
   Suspicion SuspicionOf(const Job& job,
                         const TaskPosition& place,
                         base::Micros now) const;
   Suspicion SuspicionOfStart(const Job& job,
                              const TaskPosition& place,
                              base::Micros now) const;
-  void WatchSuspect(Worker& worker, const jobs::TaskId& id, Run& run);
+  void UpdateSuspicion(Worker& worker, const jobs::TaskId& id, Run& run);
 
   // what workers tell of jobs that are not known yet
   struct UnknownJob {
     std::vector<std::pair<jobs::WorkerLife, ReportedEnd>> ends;
     std::vector<std::pair<jobs::WorkerLife, jobs::TaskId>> runs;
   };
-  UnknownJob& Unknown(const std::string& job);
-  void HoldEnd(Worker& worker, const ReportedEnd& end);
-  void HoldRun(Worker& worker, const ReportedRun& listed, base::Micros now);
-  void MeetJob(Job& job, base::Micros now);
-  void ReleaseEnd(const jobs::WorkerLife& worker,
-                  const ReportedEnd& end,
-                  std::uint64_t change);
+  UnknownJob& UnknownJobFor(const std::string& job);
+  void BufferRunEnd(Worker& worker, const ReportedEnd& end);
+  void BufferRun(Worker& worker, const ReportedRun& listed, base::Micros now);
+  void ApplyBufferedReports(Job& job, base::Micros now);
+  void ReleaseBufferedEnd(const jobs::WorkerLife& worker,
+                          const ReportedEnd& end,
+                          std::uint64_t change);
 
   // listings
-  Worker* TakeOutcome(const jobs::WorkerLife& life,
-                      CommandOutcome outcome,
-                      base::Micros now);
-  void TakeRunning(Worker& worker, const ReportedRun& listed, base::Micros now);
-  void NoteSkippedEnd(const Worker& worker, const ReportedEnd& end);
-  void NoteClock(Worker& worker,
-                 const StartRun& order,
-                 Run& run,
-                 std::int64_t clock_ms,
-                 base::Micros now);
-  void RestIfStartsAreLost(Worker& worker, base::Micros now);
+  Worker* ApplyCommandOutcome(const jobs::WorkerLife& life,
+                              CommandOutcome outcome,
+                              base::Micros now);
+  void ProcessReportedRun(Worker& worker,
+                          const ReportedRun& listed,
+                          base::Micros now);
+  void LogIgnoredEnd(const Worker& worker, const ReportedEnd& end);
+  void CheckClock(Worker& worker,
+                  const StartRun& order,
+                  Run& run,
+                  std::int64_t clock_ms,
+                  base::Micros now);
+  void QuarantineIfStartsUnanswered(Worker& worker, base::Micros now);
   void AdoptRun(Worker& worker, const ReportedRun& listed, base::Micros now);
-  void SettleMissing(Worker& worker,
-                     const WorkerReport& listing,
-                     base::Micros now);
-  void Acknowledge(Worker& worker);
+  void ResolveMissingRuns(Worker& worker,
+                          const WorkerReport& listing,
+                          base::Micros now);
+  void AdvanceAcknowledged(Worker& worker);
 
   // lives of workers
-  Worker* FindLife(const jobs::WorkerLife& life);
-  Worker* CurrentLife(const std::string& id);
+  Worker* FindIncarnation(const jobs::WorkerLife& life);
+  Worker* CurrentIncarnation(const std::string& id);
   // This life, or a later one that may have what was meant for it.
-  Worker* HolderOf(const jobs::WorkerLife& life);
-  bool IsKnownToBeOver(const jobs::WorkerLife& life) const;
-  Worker* LifeThatAnswered(const jobs::WorkerLife& asked,
-                           const jobs::WorkerLife& answered,
+  Worker* FindHolder(const jobs::WorkerLife& life);
+  bool HasEnded(const jobs::WorkerLife& life) const;
+  Worker* FindResponder(const jobs::WorkerLife& asked,
+                        const jobs::WorkerLife& answered,
+                        base::Micros now);
+  Worker& ReplaceRestarted(Worker& earlier,
+                           const WorkerInfo& info,
                            base::Micros now);
-  Worker& Restarted(Worker& earlier, const WorkerInfo& info, base::Micros now);
-  void MoveRun(Worker& next,
-               const jobs::TaskId& id,
-               Run run,
-               const std::optional<PossibleLoss>& loss);
+  void TransferRun(Worker& next,
+                   const jobs::TaskId& id,
+                   Run run,
+                   const std::optional<PossibleLoss>& loss);
   // This life is over: nothing of it runs.
-  void WorkerDied(const jobs::WorkerLife& life,
-                  LossReason sign,
-                  base::Micros now);
+  void RemoveWorker(const jobs::WorkerLife& life,
+                    LossReason sign,
+                    base::Micros now);
   // The same for good: its announcement may still stand, and be read again.
-  void LifeIsOver(const jobs::WorkerLife& life,
-                  LossReason sign,
-                  base::Micros now);
-  void LoseRuns(const Worker& worker,
-                const std::map<jobs::TaskId, Run>& runs,
-                const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-                LossReason sign,
-                base::Micros now);
-  void DropRuns(Worker& worker, LossReason sign, base::Micros now);
+  void EndIncarnation(const jobs::WorkerLife& life,
+                      LossReason sign,
+                      base::Micros now);
+  void HandleLostRuns(const Worker& worker,
+                      const std::map<jobs::TaskId, Run>& runs,
+                      const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
+                      LossReason sign,
+                      base::Micros now);
+  void DropAllRuns(Worker& worker, LossReason sign, base::Micros now);
 
   // leases and looks
   void ExpireLeases(base::Micros now);
-  void DueLooks(base::Micros now);
-  void DueStops(base::Micros now);
+  void IssueDuePolls(base::Micros now);
+  void IssueDueStops(base::Micros now);
   void Stop(Worker& worker, const jobs::TaskId& task, base::Micros now);
 
   // placement
-  void Place(base::Micros now);
+  void PlaceTasks(base::Micros now);
   void PlacePool(const std::string& service,
                  ReadyTasks& tasks,
                  base::Micros now);
-  ReadyTasks::Tried TryTask(const ReadyTask& task,
-                            PoolTurn& turn,
-                            base::Micros now);
-  std::optional<WaitReason> PlaceOne(const ReadyTask& task,
-                                     Suspicion suspicion,
-                                     const std::vector<Worker*>& candidates,
-                                     base::Micros now);
-  bool SuitsSomeWorker(const jobs::Step& step) const;
-  std::vector<Choice> ChooseFor(const Job& job,
-                                const TaskPosition& place,
-                                const std::vector<Worker*>& candidates,
-                                base::Micros now) const;
-  void Plan(Job& job, const Choice& choice, int run, base::Micros now);
-  Run RunOf(const Job& job, const jobs::Step& step, int number, RunState state);
+  ReadyTasks::Tried TryPlace(const ReadyTask& task,
+                             PlacementPass& turn,
+                             base::Micros now);
+  std::optional<WaitReason> PlaceTask(const ReadyTask& task,
+                                      Suspicion suspicion,
+                                      const std::vector<Worker*>& candidates,
+                                      base::Micros now);
+  bool HasSuitableWorker(const jobs::Step& step) const;
+  std::vector<Assignment> ChooseWorkers(const Job& job,
+                                        const TaskPosition& place,
+                                        const std::vector<Worker*>& candidates,
+                                        base::Micros now) const;
+  void PlanRun(Job& job, const Assignment& choice, int run, base::Micros now);
+  Run MakeRun(const Job& job,
+              const jobs::Step& step,
+              int number,
+              RunState state);
   // The placements up to this change are saved: their workers are told.
-  void StartSaved(Job& job, base::Micros now);
+  void StartSavedPlacements(Job& job, base::Micros now);
   void InheritRuns(Job& job, base::Micros now);
   void InheritRun(Job& job,
                   const TaskPosition& place,
@@ -355,48 +368,51 @@
                   Worker& worker,
                   base::Micros now);
   void InheritStops(Job& job, base::Micros now);
-  bool TakeLatePlacement(Job& job,
-                         const TaskPosition& place,
-                         const jobs::Placement& placement);
-  void VoidPlan(Job& job, const TaskPosition& place);
+  bool ApplyLatePlacement(Job& job,
+                          const TaskPosition& place,
+                          const jobs::Placement& placement);
+  void CancelPlan(Job& job, const TaskPosition& place);
   // Another owner wrote the job's row.
-  void TakeStored(Job& job, const jobs::Progress& stored, base::Micros now);
-  bool Usable(const Worker& worker, base::Micros now) const;
-  bool HasAdvice(Job& job,
-                 const TaskPosition& place,
-                 const std::vector<Worker*>& candidates,
-                 base::Micros now);
-  bool MayHaveBeenRenewed(const Job& job, const TaskPosition& place) const;
-  int NextRun(const Job& job, const TaskPosition& place) const;
+  void MergeStoredProgress(Job& job,
+                           const jobs::Progress& stored,
+                           base::Micros now);
+  bool IsUsable(const Worker& worker, base::Micros now) const;
+  bool EnsureAdvice(Job& job,
+                    const TaskPosition& place,
+                    const std::vector<Worker*>& candidates,
+                    base::Micros now);
+  bool LeaseMayHaveBeenRenewed(const Job& job, const TaskPosition& place) const;
+  int NextRunNumber(const Job& job, const TaskPosition& place) const;
 
   // fleet
   void RunFleet(base::Micros now);
-  FleetView ViewFleet(base::Micros now);
-  std::map<std::string, int> LeastBoxes() const;
+  FleetView BuildFleetView(base::Micros now);
+  std::map<std::string, int> MinBoxes() const;
   bool IsStuck(const ReadyTask& task, bool has_cores, base::Micros now) const;
-  void AddForStuckTasks(base::Micros now,
-                        const FleetView& view,
-                        std::map<std::string, int>& least);
+  void AddBoxesForStuckTasks(base::Micros now,
+                             const FleetView& view,
+                             std::map<std::string, int>& least);
   int PriorityOf(const jobs::TaskId& task) const;
   void StopForEvacuation(const std::string& box, base::Micros now);
-  BoxCallContext EvidenceOf(const std::string& box, base::Micros now) const;
-  void BoxTaken(const std::string& box, base::Micros now);
+  BoxCallContext BoxCallContextOf(const std::string& box,
+                                  base::Micros now) const;
+  void ReclaimBox(const std::string& box, base::Micros now);
   bool MayInterrupt(const jobs::TaskId& task, base::Micros now) const;
-  bool HasPlaceElsewhere(const jobs::TaskId& task, base::Micros now);
-  bool IsSeenAtWork(const Task& task, base::Micros now) const;
+  bool CanRunElsewhere(const jobs::TaskId& task, base::Micros now);
+  bool IsKnownToServe(const Task& task, base::Micros now) const;
 
-  Limits limits;
+  SchedulerLimits limits;
   jobs::Config config;
   std::map<jobs::WorkerLife, Worker> workers;  // one life of each id
   // The latest start of a life that is over, by id, until its announcement is
   // gone.
-  std::map<std::string, std::int64_t> ended_lives;
+  std::map<std::string, std::int64_t> ended_incarnations;
   std::unordered_map<std::string, Job> jobs;
   std::map<std::string, UnknownJob> unknown_jobs;
   std::map<std::string, ReadyTasks> ready;  // by service
   OpenLosses open_losses;
-  std::set<std::string> to_save;  // jobs whose progress changed
-  std::set<std::string> timed;    // jobs with repeats to come
+  std::set<std::string> jobs_to_save;    // jobs whose progress changed
+  std::set<std::string> repeating_jobs;  // jobs with repeats to come
   RunTimes run_times;
   Demand demand;
   Quotas quotas;
@@ -404,14 +420,15 @@
   Fleet fleet;
   BoxRequests box_requests;
   std::vector<Action> actions;
-  base::Micros confirmed{};
-  base::Micros certain_until{};
+  base::Micros confirmed_at{};
+  base::Micros ownership_until{};
   base::Micros next_save{};
-  base::Micros next_fleet{};
-  std::uint64_t ready_number = 0;
+  base::Micros next_fleet_plan{};
+  std::uint64_t last_ready_number = 0;
   std::uint64_t worker_change_count = 0;
   bool is_fenced = false;
-  bool save_now = false;  // a placement or a final state waits to be saved
+  bool save_immediately =
+      false;  // a placement or a final state waits to be saved
 };
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -23,12 +23,13 @@
 // runs waits for the end of its lease; the lease must also bridge a takeover.
 BOOST_AUTO_TEST_CASE(LeaseOfABusyWorkerIsNeitherLongNorShort) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
-  bench.scheduler.Granted(bench.LifeOf("w"), bench.now + milliseconds(2500));
-  bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+  bench.scheduler.LeaseGranted(bench.LifeOf("w"),
+                               bench.now + milliseconds(2500));
+  bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   const WorkerReport running{.clock_ms = 0,
                              .running = {{.task = start.task,
                                           .run = start.run,
@@ -67,11 +68,11 @@
 // that is found, or a renewal without an answer.
 BOOST_AUTO_TEST_CASE(LeaseIsRenewedWhereItIsNotKnownToLast) {
   Bench bench(2);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {}, bench.now + milliseconds(2000));
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
-  bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+  bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   jobs::TaskId found = FirstTask("job");
   found.index = 1;
   bench.List(
@@ -79,7 +80,7 @@
       {.clock_ms = 0,
        .running = {{.task = found, .run = 7, .checkpoint = "", .percent = 1}},
        .ended = {}});
-  bench.scheduler.Granted(bench.LifeOf("w"), bench.now + seconds(4));
+  bench.scheduler.LeaseGranted(bench.LifeOf("w"), bench.now + seconds(4));
   BOOST_REQUIRE(bench.scheduler.FindWorker("w")->lease_end >=
                 bench.now + seconds(4));
   const auto asked = Only<PollWorker>(bench.Turn());
@@ -103,8 +104,8 @@
                                                .run = 1};
   bench.scheduler.InheritWorker(Bench::Worker("dies"),
                                 bench.now + milliseconds(10'500));
-  bench.scheduler.PutWorker(Bench::Worker("dies"), bench.now);
-  bench.scheduler.PutWorker(Bench::Worker("lives"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("dies"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("lives"), bench.now);
   bench.scheduler.AddJob(MakeJob("job", queue, spec, progress, bench.now, {}),
                          bench.now);
   bench.List("lives", {});
@@ -117,7 +118,7 @@
   const base::Micros heard = bench.now;
   StartRun start;
   while (start.worker.empty() && bench.now < heard + seconds(20)) {
-    bench.scheduler.LookFailed(bench.LifeOf("dies"), CommandOutcome::kUnknown,
+    bench.scheduler.PollFailed(bench.LifeOf("dies"), CommandOutcome::kUnknown,
                                bench.now);
     const std::vector<Action> actions = bench.Turn();
     bench.Save(Only<SaveProgress>(actions));
@@ -141,13 +142,13 @@
   bench.scheduler.AddJob(MakeJob("job", queue, spec, {}, bench.now, {}),
                          bench.now);
   bench.now += seconds(2);  // no worker yet
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   std::int64_t number = 0;
   for (const RunEndReason how :
        {RunEndReason::kFailed, RunEndReason::kSucceeded}) {
     const StartRun start = bench.NextStart();
-    bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+    bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
     bench.now += milliseconds(700);
     bench.List("w", {.clock_ms = 0,
                      .running = {},
@@ -174,22 +175,22 @@
 BOOST_AUTO_TEST_CASE(TaskDoneBeyondACutStopsItsLaterRun) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
-    bench.scheduler.PutWorker(Bench::Worker(id), bench.now);
+    bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
     bench.List(id, {});
   }
   bench.AddJob("job");
   const StartRun first = bench.NextStart();
   BOOST_REQUIRE(first.run == 1);
-  bench.scheduler.Granted(first.worker, bench.now + seconds(1));
-  bench.scheduler.Started(first, CommandOutcome::kDone, bench.now);
+  bench.scheduler.LeaseGranted(first.worker, bench.now + seconds(1));
+  bench.scheduler.StartAnswered(first, CommandOutcome::kDone, bench.now);
   // Its worker falls silent, and its lease runs out.
-  bench.scheduler.LookFailed(first.worker, CommandOutcome::kUnknown, bench.now);
+  bench.scheduler.PollFailed(first.worker, CommandOutcome::kUnknown, bench.now);
   bench.now += seconds(8);
   const StartRun second = bench.NextStart();
   BOOST_REQUIRE(second.run == 2);
   BOOST_CHECK(second.worker != first.worker);
-  bench.scheduler.Granted(second.worker, bench.now + seconds(4));
-  bench.scheduler.Started(second, CommandOutcome::kDone, bench.now);
+  bench.scheduler.LeaseGranted(second.worker, bench.now + seconds(4));
+  bench.scheduler.StartAnswered(second, CommandOutcome::kDone, bench.now);
   // The cut heals: the first run had been done before its lease ran out.
   bench.List(first.worker.id, {.clock_ms = 0,
                                .running = {},
@@ -205,7 +206,7 @@
 
 BOOST_AUTO_TEST_CASE(FillingTasksRestWhenTheTailOfServingOnesIsOver) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   const auto add = [&](const std::string& id, bool fills) {
     jobs::Step step = Bench::OneLastingTask();
     step.fills = fills;
@@ -242,7 +243,7 @@
 BOOST_AUTO_TEST_CASE(StepThatNeedsAdviceStartsOnlyWithATicket) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
-    bench.scheduler.PutWorker(Bench::Worker(id), bench.now);
+    bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
     bench.List(id, {});
   }
   bench.AddJob("job", jobs::Step(), true);
@@ -251,7 +252,7 @@
   BOOST_TEST(Only<SaveProgress>(asked).empty());
   // One question at a time.
   BOOST_TEST(Only<RequestAdvice>(bench.Turn()).empty());
-  bench.scheduler.Advised(
+  bench.scheduler.AdviceAnswered(
       Only<RequestAdvice>(asked)[0],
       Advice{.tickets = {{{.id = "b"}, "t"}}, .valid_for = seconds(3)},
       bench.now);
@@ -259,7 +260,7 @@
   BOOST_TEST(start.worker.id == "b");
   BOOST_TEST(start.ticket == "t");
   // Refused there: the ticket is not used again.
-  bench.scheduler.Started(start, CommandOutcome::kNoTicket, bench.now);
+  bench.scheduler.StartAnswered(start, CommandOutcome::kNoTicket, bench.now);
   BOOST_TEST(Only<StartRun>(bench.Turn()).empty());
 }
 
@@ -267,13 +268,13 @@
 // once, it would end at work, perhaps with others of its step away.
 BOOST_AUTO_TEST_CASE(UnansweredStartOfALastingTaskIsStoppedOnlyAfterAListing) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   bench.AddJob("job", Bench::OneLastingTask());
   const StartRun start = bench.NextStart();
   BOOST_REQUIRE(start.run == 1);
-  bench.scheduler.Granted(bench.LifeOf("w"), bench.now + seconds(8));
-  bench.scheduler.Started(start, CommandOutcome::kUnknown, bench.now);
+  bench.scheduler.LeaseGranted(bench.LifeOf("w"), bench.now + seconds(8));
+  bench.scheduler.StartAnswered(start, CommandOutcome::kUnknown, bench.now);
   BOOST_TEST(Only<StopRun>(bench.Turn()).empty());
   bench.List("w", {});
   BOOST_TEST(Only<StopRun>(bench.Turn()).size() == 1U);
@@ -282,7 +283,7 @@
 // It answers looks and leaves every start unanswered: not for ever.
 BOOST_AUTO_TEST_CASE(WorkerThatLeavesStartsUnansweredGetsNoMoreForAWhile) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("bad"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("bad"), bench.now);
   bench.List("bad", {});
   int ordered = 0;
   for (int i = 0; i < 8; ++i) {
@@ -291,7 +292,7 @@
     if (start.worker.empty())
       break;
     ++ordered;
-    bench.scheduler.Started(start, CommandOutcome::kUnknown, bench.now);
+    bench.scheduler.StartAnswered(start, CommandOutcome::kUnknown, bench.now);
     bench.List("bad", {});
   }
   BOOST_TEST(ordered == 3);
@@ -300,13 +301,13 @@
 // A job that was given a worker, and whose start got no answer, still waits.
 BOOST_AUTO_TEST_CASE(JobWaitsUntilAWorkerHasStartedARunOfIt) {
   Bench bench(1);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
   BOOST_REQUIRE(start.run == 1);
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 1);
-  bench.scheduler.Started(start, CommandOutcome::kUnknown, bench.now);
+  bench.scheduler.StartAnswered(start, CommandOutcome::kUnknown, bench.now);
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 1);
   bench.List("w", {.clock_ms = 0,
                    .running = {{.task = start.task,
@@ -321,7 +322,7 @@
 // stands in the way of the next placement, which must not be made.
 BOOST_AUTO_TEST_CASE(FailuresThatAnEarlierOwnerKnewCount) {
   Bench bench(3);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {.clock_ms = 0, .running = {}, .ended = {}},
              std::chrono::seconds(4));
   bench.AddJob("j");
@@ -330,12 +331,12 @@
   jobs::Progress stored;
   for (int run = 1001; run < 1004; ++run)
     stored.MarkFailed({.step = {}, .index = 0}, run);
-  bench.scheduler.Saved({.job = "j",
-                         .change = saves[0].change,
-                         .outcome = SaveOutcome::kConflict,
-                         .version = 7,
-                         .stored = stored},
-                        bench.now);
+  bench.scheduler.ProgressSaved({.job = "j",
+                                 .change = saves[0].change,
+                                 .outcome = SaveOutcome::kConflict,
+                                 .version = 7,
+                                 .stored = stored},
+                                bench.now);
   const std::vector<Action> after = bench.Turn();
   BOOST_TEST(Only<StartRun>(after).empty());
   const auto again = Only<SaveProgress>(after);
@@ -354,13 +355,13 @@
     info.box = box;
     return info;
   };
-  bench.scheduler.PutWorker(on_box("old", "box-1"), bench.now);
+  bench.scheduler.UpdateWorker(on_box("old", "box-1"), bench.now);
   bench.List("old", {});
-  bench.scheduler.LookFailed(bench.LifeOf("old"),
+  bench.scheduler.PollFailed(bench.LifeOf("old"),
                              CommandOutcome::kOtherIncarnation, bench.now);
-  bench.scheduler.PutWorker(on_box("new", "box-1"), bench.now);
+  bench.scheduler.UpdateWorker(on_box("new", "box-1"), bench.now);
   bench.List("new", {});
-  bench.scheduler.PutWorker(on_box("other", "box-2"), bench.now);
+  bench.scheduler.UpdateWorker(on_box("other", "box-2"), bench.now);
   bench.List("other", {});
   bench.scheduler.SetBoxes({{.name = "box-1", .pool = "pool", .worker = "new"},
                             {.name = "box-2", .pool = "pool"}},
@@ -373,13 +374,14 @@
   const auto begun = Only<MaintainBox>(bench.Turn());
   BOOST_REQUIRE(begun.size() == 1U);
   BOOST_REQUIRE(begun[0].box == "box-1");
-  bench.scheduler.UpkeepBegun(begun[0], BoxCallOutcome::kDone, bench.now);
-  bench.scheduler.PutWorker(on_box("old", "box-1"), bench.now);
-  bench.scheduler.PutWorker(on_box("new", "box-1"), bench.now);
+  bench.scheduler.MaintenanceAnswered(begun[0], BoxCallOutcome::kDone,
+                                      bench.now);
+  bench.scheduler.UpdateWorker(on_box("old", "box-1"), bench.now);
+  bench.scheduler.UpdateWorker(on_box("new", "box-1"), bench.now);
   BOOST_TEST(Only<MaintainBox>(bench.Turn()).empty());
   BOOST_TEST(!bench.scheduler.FindWorker("old"));
   // Its next life brings it back.
-  bench.scheduler.PutWorker(on_box("next", "box-1"), bench.now);
+  bench.scheduler.UpdateWorker(on_box("next", "box-1"), bench.now);
   BOOST_TEST(Only<MaintainBox>(bench.Turn()).size() == 1U);
 }
 
@@ -390,11 +392,11 @@
   jobs::Config config;
   config.services = {{.name = "pool"}, {.name = "other"}};
   bench.scheduler.SetConfig(config, bench.now);
-  bench.scheduler.PutWorker(Bench::Worker("full"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("full"), bench.now);
   bench.List("full", {});
   WorkerInfo idle = Bench::Worker("idle");
   idle.service = "other";
-  bench.scheduler.PutWorker(idle, bench.now);
+  bench.scheduler.UpdateWorker(idle, bench.now);
   bench.List("idle", {});
   jobs::Step step = Bench::OneLastingTask();
   step.tasks = 2;
@@ -423,7 +425,7 @@
   Bench bench(1);
   std::map<std::string, std::vector<StartRun>> running;
   for (const char* worker : {"a", "b"}) {
-    bench.scheduler.PutWorker(Bench::Worker(worker), bench.now);
+    bench.scheduler.UpdateWorker(Bench::Worker(worker), bench.now);
     bench.List(worker, {});
     running[worker];
   }
@@ -446,7 +448,7 @@
     for (const StartRun& more : Only<StartRun>(bench.scheduler.TakeActions()))
       starts.push_back(more);
     for (const StartRun& start : starts) {
-      bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
+      bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
       running[start.worker.id].push_back(start);
       is_started = is_started || start.task.job == "large";
     }
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -57,7 +57,7 @@
     WorkerInfo info = Bench::Worker("w" + std::to_string(++this->lives));
     info.box = box;
     info.service = pool;
-    this->bench.scheduler.PutWorker(info, this->bench.now);
+    this->bench.scheduler.UpdateWorker(info, this->bench.now);
     this->List(info.life.id);
   }
 
@@ -109,8 +109,8 @@
       this->bench.Save(Only<SaveProgress>(actions));
       for (const StartRun& start :
            Only<StartRun>(this->bench.scheduler.TakeActions())) {
-        this->bench.scheduler.Started(start, CommandOutcome::kDone,
-                                      this->bench.now);
+        this->bench.scheduler.StartAnswered(start, CommandOutcome::kDone,
+                                            this->bench.now);
         this->running[start.worker.id].push_back(
             {.task = start.task, .run = start.run, .percent = 100});
         ++this->starts;
@@ -118,8 +118,8 @@
       for (const PollWorker& look : Only<PollWorker>(actions))
         this->List(look.worker.id);
       for (const MoveBox& move : Only<MoveBox>(actions)) {
-        this->bench.scheduler.Moved(move, BoxCallOutcome::kDone,
-                                    this->bench.now);
+        this->bench.scheduler.MoveAnswered(move, BoxCallOutcome::kDone,
+                                           this->bench.now);
         this->Come(move.box, move.pool);
         this->moved[move.pool] += 1;
       }
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -29,11 +29,11 @@
 // Its step passed for one that fits nowhere, and the others of it waited too.
 BOOST_AUTO_TEST_CASE(TaskThatWaitsForAnIdleWorkerHoldsUpNoOther) {
   Bench bench(2);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   bench.AddJob("busy", Bench::OneLastingTask());
   const StartRun busy = bench.NextStart();
-  bench.scheduler.Started(busy, CommandOutcome::kDone, bench.now);
+  bench.scheduler.StartAnswered(busy, CommandOutcome::kDone, bench.now);
   jobs::Queue queue;
   queue.name = "queue";
   queue.service = "pool";
@@ -85,12 +85,12 @@
 BOOST_AUTO_TEST_CASE(SilentWorkersFateSettlesTheSuspicion) {
   for (const bool answers : {true, false}) {
     Bench bench(1);
-    bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+    bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
     bench.List("w", {});
     bench.AddJob("job", Bench::OneLastingTask());
     const StartRun start = bench.NextStart();
-    bench.scheduler.Started(start, CommandOutcome::kDone, bench.now);
-    bench.scheduler.LookFailed(Life("w"), CommandOutcome::kUnknown, bench.now);
+    bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
+    bench.scheduler.PollFailed(Life("w"), CommandOutcome::kUnknown, bench.now);
     bench.now += seconds(8);
     bench.Turn();
     const auto losses = [&] {
@@ -108,7 +108,7 @@
     }
     WorkerInfo next = Bench::Worker("next");
     next.box = "box-w";
-    bench.scheduler.PutWorker(next, bench.now);
+    bench.scheduler.UpdateWorker(next, bench.now);
     bench.List("next", {});
     BOOST_TEST(losses().at(Life("w")).has_crashed);
   }
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -14,22 +14,22 @@
 
 namespace quartzhoist::scheduler {
 
-Scheduler::UnknownJob& Scheduler::Unknown(const std::string& job) {
+Scheduler::UnknownJob& Scheduler::UnknownJobFor(const std::string& job) {
   const auto [entry, is_new] = this->unknown_jobs.try_emplace(job);
   if (is_new)
     this->actions.emplace_back(LoadJob{job});
   return entry->second;
 }
 
-void Scheduler::HoldEnd(Worker& worker, const ReportedEnd& end) {
-  this->Unknown(end.task.job).ends.emplace_back(worker.info.life, end);
+void Scheduler::BufferRunEnd(Worker& worker, const ReportedEnd& end) {
+  this->UnknownJobFor(end.task.job).ends.emplace_back(worker.info.life, end);
   worker.pending_ends.push_back(
       {.number = end.sequence, .job = end.task.job, .is_held = true});
 }
 
-void Scheduler::HoldRun(Worker& worker,
-                        const ReportedRun& listed,
-                        base::Micros now) {
+void Scheduler::BufferRun(Worker& worker,
+                          const ReportedRun& listed,
+                          base::Micros now) {
   Run run{.number = listed.run, .state = RunState::kRunning};
   run.is_held = true;
   run.since = now;
@@ -39,14 +39,13 @@
   run.percent = listed.percent;
   AddRun(worker, listed.task, std::move(run));
   // It runs, so it has a lease, whoever granted it.
-  worker.lease_end =
-      std::max(worker.lease_end, now + this->limits.longest_grant);
-  this->Unknown(listed.task.job)
+  worker.lease_end = std::max(worker.lease_end, now + this->limits.max_grant);
+  this->UnknownJobFor(listed.task.job)
       .runs.emplace_back(worker.info.life, listed.task);
 }
 
 // The job has become known: what was held of it is taken now.
-void Scheduler::MeetJob(Job& job, base::Micros now) {
+void Scheduler::ApplyBufferedReports(Job& job, base::Micros now) {
   const auto found = this->unknown_jobs.find(job.id);
   if (found == this->unknown_jobs.end())
     return;
@@ -54,8 +53,8 @@
   this->unknown_jobs.erase(found);
   for (const auto& [id, end] : held.ends) {
     if (HasTask(job, PositionOf(end.task)))
-      this->TakeFate(job, id, end, now);
-    this->ReleaseEnd(id, end, job.change);
+      this->ApplyRunEnd(job, id, end, now);
+    this->ReleaseBufferedEnd(id, end, job.change);
   }
   for (const auto& [id, task] : held.runs) {
     const auto worker = this->workers.find(id);
@@ -73,14 +72,14 @@
   }
 }
 
-void Scheduler::JobIsOver(const std::string& id, base::Micros now) {
+void Scheduler::UnknownJobIsOver(const std::string& id, base::Micros now) {
   const auto found = this->unknown_jobs.find(id);
   if (found == this->unknown_jobs.end())
     return;
   const UnknownJob held = std::move(found->second);
   this->unknown_jobs.erase(found);
   for (const auto& [worker, end] : held.ends)
-    this->ReleaseEnd(worker, end, 0);
+    this->ReleaseBufferedEnd(worker, end, 0);
   for (const auto& [worker, task] : held.runs) {
     const auto there = this->workers.find(worker);
     if (there != this->workers.end())
@@ -89,9 +88,9 @@
 }
 
 // The end may be acknowledged once this change of its job is saved.
-void Scheduler::ReleaseEnd(const jobs::WorkerLife& id,
-                           const ReportedEnd& end,
-                           std::uint64_t change) {
+void Scheduler::ReleaseBufferedEnd(const jobs::WorkerLife& id,
+                                   const ReportedEnd& end,
+                                   std::uint64_t change) {
   const auto worker = this->workers.find(id);
   if (worker == this->workers.end())
     return;
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_CASE(RunOfAnUnknownJobTakesTheWholeRoomUntilItHasEnded) {
   Bench bench(2);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {.clock_ms = 0,
                    .running = {{.task = FirstTask("over"),
                                 .run = 3,
@@ -31,7 +31,7 @@
   BOOST_TEST(Only<StopRun>(before).empty());
   BOOST_REQUIRE(Only<LoadJob>(before).size() == 1U);
   BOOST_TEST(Only<LoadJob>(before)[0].job == "over");
-  bench.scheduler.JobIsOver("over", bench.now);
+  bench.scheduler.UnknownJobIsOver("over", bench.now);
   const std::vector<Action> after = bench.Turn();
   BOOST_TEST(Only<SaveProgress>(after).empty());
   BOOST_TEST(Only<StopRun>(after).size() == 1U);
@@ -49,7 +49,7 @@
 // that are not known, once the first of them is.
 BOOST_AUTO_TEST_CASE(RunsOfSeveralUnknownJobsLeaveNoRoomUntilAllAreKnown) {
   Bench bench(2);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w",
              {.running = {{.task = FirstTask("first"), .run = 1, .percent = 40},
                           {.task = FirstTask("second"), .run = 1}}});
@@ -67,7 +67,7 @@
 // started again.
 BOOST_AUTO_TEST_CASE(EndOfAJobThatIsNotKnownYetIsHeldUntilItIs) {
   Bench bench(2);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   const WorkerReport listing{.clock_ms = 0,
                              .running = {},
                              .ended = {{.sequence = 1,
@@ -86,18 +86,18 @@
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_CHECK(jobs::DecodeProgress(saves[0].text)->state ==
               jobs::JobState::kCompleted);
-  bench.scheduler.Saved({.job = "late",
-                         .change = saves[0].change,
-                         .outcome = SaveOutcome::kSaved,
-                         .version = 2},
-                        bench.now);
+  bench.scheduler.ProgressSaved({.job = "late",
+                                 .change = saves[0].change,
+                                 .outcome = SaveOutcome::kSaved,
+                                 .version = 2},
+                                bench.now);
   bench.Turn();
   BOOST_TEST(bench.scheduler.FindWorker("w")->acknowledged == 1);
 }
 
 BOOST_AUTO_TEST_CASE(RunOfAJobThatIsNotKnownYetIsItsRun) {
   Bench bench(2);
-  bench.scheduler.PutWorker(Bench::Worker("w"), bench.now);
+  bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {.clock_ms = 0,
                    .running = {{.task = FirstTask("late"),
                                 .run = 1,
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -14,7 +14,7 @@
 
 // --- Which life ---
 
-Worker* Scheduler::FindLife(const jobs::WorkerLife& life) {
+Worker* Scheduler::FindIncarnation(const jobs::WorkerLife& life) {
   const auto found = this->workers.find(life);
   return found == this->workers.end() ? nullptr : &found->second;
 }
@@ -30,37 +30,38 @@
   return is_it ? &found->second : nullptr;
 }
 
-Worker* Scheduler::CurrentLife(const std::string& id) {
+Worker* Scheduler::CurrentIncarnation(const std::string& id) {
   const auto found = this->workers.lower_bound({.id = id});
   const bool is_it = found != this->workers.end() && found->first.id == id;
   return is_it ? &found->second : nullptr;
 }
 
-Worker* Scheduler::HolderOf(const jobs::WorkerLife& life) {
-  Worker* current = this->CurrentLife(life.id);
+Worker* Scheduler::FindHolder(const jobs::WorkerLife& life) {
+  Worker* current = this->CurrentIncarnation(life.id);
   const bool holds = current && (current->info.life == life ||
                                  current->info.life.IsAfter(life));
   return holds ? current : nullptr;
 }
 
-bool Scheduler::IsKnownToBeOver(const jobs::WorkerLife& life) const {
-  const auto ended = this->ended_lives.find(life.id);
-  return ended != this->ended_lives.end() && life.born_ms <= ended->second;
+bool Scheduler::HasEnded(const jobs::WorkerLife& life) const {
+  const auto ended = this->ended_incarnations.find(life.id);
+  return ended != this->ended_incarnations.end() &&
+         life.born_ms <= ended->second;
 }
 
 // --- Lives that come ---
 
-void Scheduler::PutWorker(const WorkerInfo& announced, base::Micros now) {
+void Scheduler::UpdateWorker(const WorkerInfo& announced, base::Micros now) {
   WorkerInfo info = announced;
-  Worker* known = this->CurrentLife(info.life.id);
+  Worker* known = this->CurrentIncarnation(info.life.id);
   // One without a start is of the life that is there.
   if (known && info.life.born_ms == 0)
     info.life = known->info.life;
   const bool is_earlier = known && known->info.life.IsAfter(info.life);
-  if (is_earlier || this->IsKnownToBeOver(info.life))
+  if (is_earlier || this->HasEnded(info.life))
     return;
   if (known && info.life.IsAfter(known->info.life))
-    known = &this->Restarted(*known, info, now);
+    known = &this->ReplaceRestarted(*known, info, now);
   if (!known) {
     known = &this->workers[info.life];
     ++this->worker_change_count;
@@ -77,7 +78,7 @@
 }
 
 void Scheduler::InheritWorker(const WorkerInfo& info, base::Micros lease_end) {
-  Worker* worker = this->CurrentLife(info.life.id);
+  Worker* worker = this->CurrentIncarnation(info.life.id);
   if (!worker) {
     worker = &this->workers[info.life];
     worker->info = info;
@@ -88,10 +89,10 @@
 }
 
 // The life whose answer it is; null if that says nothing of one that is known.
-Worker* Scheduler::LifeThatAnswered(const jobs::WorkerLife& asked,
-                                    const jobs::WorkerLife& answered,
-                                    base::Micros now) {
-  Worker* worker = this->FindLife(asked);
+Worker* Scheduler::FindResponder(const jobs::WorkerLife& asked,
+                                 const jobs::WorkerLife& answered,
+                                 base::Micros now) {
+  Worker* worker = this->FindIncarnation(asked);
   if (!worker || answered == asked || answered.born_ms == 0)
     return worker;
   if (asked.IsAfter(answered)) {
@@ -101,18 +102,19 @@
   }
   WorkerInfo info = worker->info;
   info.life = answered;
-  Worker& next = this->Restarted(*worker, info, now);
+  Worker& next = this->ReplaceRestarted(*worker, info, now);
   next.is_described = false;
   return &next;
 }
 
 // `earlier` is gone when this returns.
-Worker& Scheduler::Restarted(Worker& earlier,
-                             const WorkerInfo& info,
-                             base::Micros now) {
+Worker& Scheduler::ReplaceRestarted(Worker& earlier,
+                                    const WorkerInfo& info,
+                                    base::Micros now) {
   const jobs::WorkerLife over = earlier.info.life;
   std::map<jobs::TaskId, Run> runs = TakeRuns(earlier);
-  const auto losses = this->LossesUnder(earlier, runs, LossReason::kRestarted);
+  const auto losses =
+      this->CollectLosses(earlier, runs, LossReason::kRestarted);
   // 1. The next life, under the same lease as far as that is known.
   Worker& next = this->workers[info.life];
   next.info = info;
@@ -134,15 +136,14 @@
     std::optional<PossibleLoss> possible;
     if (loss != losses.end())
       possible = {.life = over, .loss = loss->second};
-    this->MoveRun(next, it->first, std::move(it->second), possible);
+    this->TransferRun(next, it->first, std::move(it->second), possible);
     it = runs.erase(it);
     ++restarted.transferred_runs;
   }
   // An order that was meant for the earlier life may have reached this one: its
   // deadline lies far ahead on a clock that has just begun.
   next.has_foreign_lease = true;
-  next.lease_end =
-      std::max(earlier.lease_end, now + this->limits.longest_lease);
+  next.lease_end = std::max(earlier.lease_end, now + this->limits.max_lease);
   this->actions.emplace_back(restarted);
   // The earlier life refused what had been stopped there; this one does not.
   for (const UnansweredStart& start : earlier.unanswered) {
@@ -153,16 +154,16 @@
   next.unanswered = std::move(earlier.unanswered);
   // 3. All else is over.
   if (!runs.empty())
-    this->LoseRuns(earlier, runs, losses, LossReason::kRestarted, now);
-  this->LifeIsOver(over, LossReason::kRestarted, now);
+    this->HandleLostRuns(earlier, runs, losses, LossReason::kRestarted, now);
+  this->EndIncarnation(over, LossReason::kRestarted, now);
   this->fleet.BoxSeen(info.box, info.life, info.service, now);
   return next;
 }
 
-void Scheduler::MoveRun(Worker& next,
-                        const jobs::TaskId& id,
-                        Run run,
-                        const std::optional<PossibleLoss>& loss) {
+void Scheduler::TransferRun(Worker& next,
+                            const jobs::TaskId& id,
+                            Run run,
+                            const std::optional<PossibleLoss>& loss) {
   run.possible_loss = loss;
   run.missing_since = {};
   run.stop_sent = {};
@@ -176,7 +177,7 @@
     if (placed != job->progress.placed.end() &&
         placed->second.run == run.number) {
       placed->second.worker = next.info.life;
-      this->Changed(*job);
+      this->MarkChanged(*job);
     }
   }
   AddRun(next, id, std::move(run));
@@ -184,52 +185,53 @@
 
 // --- Lives that go ---
 
-void Scheduler::WorkerUnlisted(const std::string& id, base::Micros now) {
-  this->ended_lives.erase(id);
-  Worker* worker = this->CurrentLife(id);
+void Scheduler::WorkerDeregistered(const std::string& id, base::Micros now) {
+  this->ended_incarnations.erase(id);
+  Worker* worker = this->CurrentIncarnation(id);
   if (!worker)
     return;
   worker->announced = false;
   worker->unlisted = now;
   if (worker->idle() && !worker->look_in_flight)
-    this->WorkerDied(worker->info.life, LossReason::kDeregistered, now);
+    this->RemoveWorker(worker->info.life, LossReason::kDeregistered, now);
 }
 
-void Scheduler::WorkerDied(const jobs::WorkerLife& life,
-                           LossReason sign,
-                           base::Micros now) {
+void Scheduler::RemoveWorker(const jobs::WorkerLife& life,
+                             LossReason sign,
+                             base::Micros now) {
   const auto found = this->workers.find(life);
   if (found == this->workers.end())
     return;
-  this->DropRuns(found->second, sign, now);
+  this->DropAllRuns(found->second, sign, now);
   this->workers.erase(found);
   ++this->worker_change_count;
 }
 
 // A store that has forgotten its history is read anew, rows of ended lives
 // included: such a life on a box in upkeep would pass for the one after it.
-void Scheduler::LifeIsOver(const jobs::WorkerLife& life,
-                           LossReason sign,
-                           base::Micros now) {
+void Scheduler::EndIncarnation(const jobs::WorkerLife& life,
+                               LossReason sign,
+                               base::Micros now) {
   const jobs::WorkerLife over = life;
-  std::int64_t& latest = this->ended_lives[over.id];
+  std::int64_t& latest = this->ended_incarnations[over.id];
   latest = std::max(latest, over.born_ms);
-  this->WorkerDied(over, sign, now);
+  this->RemoveWorker(over, sign, now);
 }
 
-void Scheduler::DropRuns(Worker& worker, LossReason sign, base::Micros now) {
+void Scheduler::DropAllRuns(Worker& worker, LossReason sign, base::Micros now) {
   if (worker.idle())
     return;
   const std::map<jobs::TaskId, Run> runs = TakeRuns(worker);
-  this->LoseRuns(worker, runs, this->LossesUnder(worker, runs, sign), sign,
-                 now);
+  this->HandleLostRuns(worker, runs, this->CollectLosses(worker, runs, sign),
+                       sign, now);
 }
 
-void Scheduler::LoseRuns(const Worker& worker,
-                         const std::map<jobs::TaskId, Run>& runs,
-                         const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-                         LossReason sign,
-                         base::Micros now) {
+void Scheduler::HandleLostRuns(
+    const Worker& worker,
+    const std::map<jobs::TaskId, Run>& runs,
+    const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
+    LossReason sign,
+    base::Micros now) {
   const bool was_heard = worker.last_answer > base::Micros::zero();
   WorkerLost lost{.worker = worker.info.life,
                   .box = worker.info.box,
@@ -248,11 +250,11 @@
   this->actions.emplace_back(std::move(lost));
   for (const auto& [task, loss] : losses) {
     if (runs.contains(task))
-      this->NoteLoss(*this->FindJob(task.job), PositionOf(task),
-                     worker.info.life, loss, now);
+      this->RecordLoss(*this->FindJob(task.job), PositionOf(task),
+                       worker.info.life, loss, now);
   }
   for (const auto& [task, run] : runs)
-    this->TaskLost(task, run.number, now);
+    this->HandleLostRun(task, run.number, now);
 }
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -102,12 +102,14 @@
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
   first.life.born_ms = kFirstBorn;
-  bench.scheduler.PutWorker(first, bench.now);
+  bench.scheduler.UpdateWorker(first, bench.now);
   bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn}});
   bench.AddJob("before");
   const scheduler::StartRun before = bench.NextStart();
-  bench.scheduler.Granted(bench.LifeOf("w"), bench.now + milliseconds(2500));
-  bench.scheduler.Started(before, scheduler::CommandOutcome::kDone, bench.now);
+  bench.scheduler.LeaseGranted(bench.LifeOf("w"),
+                               bench.now + milliseconds(2500));
+  bench.scheduler.StartAnswered(before, scheduler::CommandOutcome::kDone,
+                                bench.now);
   bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn},
                    .ended = {{.sequence = 5,
                               .task = before.task,
@@ -118,13 +120,15 @@
   // It starts again, numbers its ends from 1 and hears no older number.
   scheduler::WorkerInfo next = Bench::Worker("w");
   next.life.born_ms = kNextBorn;
-  bench.scheduler.PutWorker(next, bench.now);
+  bench.scheduler.UpdateWorker(next, bench.now);
   bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn}});
   bench.AddJob("after");
   const scheduler::StartRun after = bench.NextStart();
   BOOST_REQUIRE(after.task == FirstTask("after"));
-  bench.scheduler.Granted(bench.LifeOf("w"), bench.now + milliseconds(2500));
-  bench.scheduler.Started(after, scheduler::CommandOutcome::kDone, bench.now);
+  bench.scheduler.LeaseGranted(bench.LifeOf("w"),
+                               bench.now + milliseconds(2500));
+  bench.scheduler.StartAnswered(after, scheduler::CommandOutcome::kDone,
+                                bench.now);
   for (const PollWorker& look : Only<PollWorker>(bench.Turn()))
     BOOST_TEST(look.acknowledged == 0);
   bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn},
@@ -144,12 +148,13 @@
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
   info.life.born_ms = kFirstBorn;
-  bench.scheduler.PutWorker(info, bench.now);
+  bench.scheduler.UpdateWorker(info, bench.now);
   bench.List("w", {});
   bench.AddJob("first");
   const scheduler::StartRun first = bench.NextStart();
-  bench.scheduler.Granted(first.worker, bench.now + milliseconds(2500));
-  bench.scheduler.Started(first, scheduler::CommandOutcome::kDone, bench.now);
+  bench.scheduler.LeaseGranted(first.worker, bench.now + milliseconds(2500));
+  bench.scheduler.StartAnswered(first, scheduler::CommandOutcome::kDone,
+                                bench.now);
   bench.List("w", {.ended = {{.sequence = 1,
                               .task = first.task,
                               .run = first.run,
@@ -157,8 +162,9 @@
   bench.AddJob("next");
   const scheduler::StartRun next = bench.NextStart();
   BOOST_REQUIRE(next.task == FirstTask("next"));
-  bench.scheduler.Granted(next.worker, bench.now + milliseconds(2500));
-  bench.scheduler.Started(next, scheduler::CommandOutcome::kDone, bench.now);
+  bench.scheduler.LeaseGranted(next.worker, bench.now + milliseconds(2500));
+  bench.scheduler.StartAnswered(next, scheduler::CommandOutcome::kDone,
+                                bench.now);
   // The look that was under way tells nothing of the start.
   bench.List("w", {});
   const auto before = Only<PollWorker>(bench.Turn());
@@ -176,23 +182,23 @@
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
   info.life.born_ms = kFirstBorn;
-  bench.scheduler.PutWorker(info, bench.now);
+  bench.scheduler.UpdateWorker(info, bench.now);
   bench.List("w", {});
   bench.AddJob("job");
   const scheduler::StartRun start = bench.NextStart();
-  bench.scheduler.Granted(start.worker, bench.now + milliseconds(2500));
-  bench.scheduler.Started(start, scheduler::CommandOutcome::kUnknown,
-                          bench.now);
+  bench.scheduler.LeaseGranted(start.worker, bench.now + milliseconds(2500));
+  bench.scheduler.StartAnswered(start, scheduler::CommandOutcome::kUnknown,
+                                bench.now);
   for (int i = 0; i < 4; ++i) {
     for (const scheduler::StopRun& stop :
          Only<scheduler::StopRun>(bench.Turn()))
-      bench.scheduler.Stopped(stop, scheduler::CommandOutcome::kDone,
-                              bench.now);
+      bench.scheduler.StopAnswered(stop, scheduler::CommandOutcome::kDone,
+                                   bench.now);
     bench.List("w", {});
   }
   BOOST_REQUIRE(!bench.scheduler.FindWorker("w")->runs.contains(start.task));
   info.life.born_ms = kNextBorn;
-  bench.scheduler.PutWorker(info, bench.now);
+  bench.scheduler.UpdateWorker(info, bench.now);
   const auto stops = Only<scheduler::StopRun>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(stops.size() == 1U);
   BOOST_CHECK(stops[0].worker == info.life);
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -32,13 +32,13 @@
     this->Confirm();
   }
 
-  static scheduler::Limits LimitsOf(std::uint64_t epoch) {
-    scheduler::Limits limits;
-    limits.lease = std::chrono::seconds(4);
-    limits.grant_bound = std::chrono::seconds(10);
-    limits.longest_grant = std::chrono::milliseconds(4200);
-    limits.longest_lease = std::chrono::milliseconds(8400);
-    limits.stop_time = std::chrono::milliseconds(400);
+  static scheduler::SchedulerLimits LimitsOf(std::uint64_t epoch) {
+    scheduler::SchedulerLimits limits;
+    limits.lease_duration = std::chrono::seconds(4);
+    limits.max_lease_after_confirmation = std::chrono::seconds(10);
+    limits.max_grant = std::chrono::milliseconds(4200);
+    limits.max_lease = std::chrono::milliseconds(8400);
+    limits.max_stop_time = std::chrono::milliseconds(400);
     limits.epoch = epoch;
     return limits;
   }
@@ -89,12 +89,12 @@
     const jobs::WorkerLife asked = this->LifeOf(worker);
     if (listing.life.empty())
       listing.life = asked;
-    this->scheduler.LookSent({.worker = asked}, this->now);
+    this->scheduler.PollSent({.worker = asked}, this->now);
     if (grant > base::Micros{})
-      this->scheduler.LookGrants(asked, grant);
+      this->scheduler.PollGrantsLease(asked, grant);
     this->now += std::chrono::milliseconds(10);
     listing.clock_ms = this->now.count() / 1000;
-    this->scheduler.Listed(asked, listing, this->now);
+    this->scheduler.WorkerReported(asked, listing, this->now);
     this->scheduler.WorkersRecorded({this->LifeOf(worker)});
   }
 
@@ -106,8 +106,8 @@
 
   // The store confirms the ownership; nobody else takes over for 1.15 s.
   void Confirm() {
-    this->scheduler.Confirmed(this->now,
-                              this->now + std::chrono::milliseconds(1150));
+    this->scheduler.OwnershipConfirmed(
+        this->now, this->now + std::chrono::milliseconds(1150));
   }
 
   // A turn of the scheduler, later.
@@ -121,12 +121,12 @@
   // Tells that all of these were saved.
   void Save(const std::vector<scheduler::SaveProgress>& saves) {
     for (const scheduler::SaveProgress& save : saves) {
-      this->scheduler.Saved({.job = save.job,
-                             .change = save.change,
-                             .outcome = scheduler::SaveOutcome::kSaved,
-                             .version = ++this->version,
-                             .stored = {}},
-                            this->now);
+      this->scheduler.ProgressSaved({.job = save.job,
+                                     .change = save.change,
+                                     .outcome = scheduler::SaveOutcome::kSaved,
+                                     .version = ++this->version,
+                                     .stored = {}},
+                                    this->now);
     }
   }
 
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -111,7 +111,7 @@
   const scheduler::WorkerInfo info = this->InfoOf(worker);
   this->workers[info.life.id] = std::move(worker);
   for (Owner& owner : this->owners)
-    owner.scheduler->PutWorker(info, this->now);
+    owner.scheduler->UpdateWorker(info, this->now);
 }
 
 scheduler::WorkerInfo SchedulerModel::InfoOf(const Worker& worker) const {
@@ -169,14 +169,14 @@
 // The old one is not told: it acts on, unconfirmed.
 void SchedulerModel::Succeed() {
   const std::uint64_t epoch = this->owners.size() + 1;
-  scheduler::Limits limits;
-  limits.lease = kLease;
-  limits.grant_bound = kGrantBound;
-  limits.longest_grant = base::Micros(static_cast<std::int64_t>(
+  scheduler::SchedulerLimits limits;
+  limits.lease_duration = kLease;
+  limits.max_lease_after_confirmation = kGrantBound;
+  limits.max_grant = base::Micros(static_cast<std::int64_t>(
       static_cast<double>(kLease.count()) * kClockSlack));
-  limits.longest_lease = base::Micros(static_cast<std::int64_t>(
+  limits.max_lease = base::Micros(static_cast<std::int64_t>(
       static_cast<double>(kLongestLease.count()) * kClockSlack));
-  limits.stop_time = milliseconds(400);
+  limits.max_stop_time = milliseconds(400);
   limits.epoch = epoch;
   limits.fleet = {.move_time = kMoveTime, .upkeep_time = kUpkeepTime};
   Owner owner;
@@ -203,7 +203,7 @@
       made.InheritWorker(held, *until);
     }
     if (!worker.dark && worker.announced)
-      made.PutWorker(info, this->now);
+      made.UpdateWorker(info, this->now);
   }
   jobs::Config config;
   config.services = {{.name = "pool"}, {.name = "other"}};
@@ -272,7 +272,7 @@
     return;
   this->last_confirmed = this->now;
   owner.certain_until = this->now + kOwnerCertain;
-  owner.scheduler->Confirmed(this->now, owner.certain_until);
+  owner.scheduler->OwnershipConfirmed(this->now, owner.certain_until);
 }
 
 void SchedulerModel::Disturb() {
@@ -351,7 +351,7 @@
     if (!there.alive || !there.announced)
       return;
     for (Owner& owner : this->owners)
-      owner.scheduler->PutWorker(this->InfoOf(there), this->now);
+      owner.scheduler->UpdateWorker(this->InfoOf(there), this->now);
   });
 }
 
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -47,7 +47,7 @@
     this->After(this->Between(300, 3000), [this, life = id] {
       this->workers.at(life).announced = false;
       for (Owner& owner : this->owners)
-        owner.scheduler->WorkerUnlisted(life, this->now);
+        owner.scheduler->WorkerDeregistered(life, this->now);
     });
   }
   box.state = state;
@@ -235,10 +235,10 @@
   }
   scheduler::Scheduler& owner = *this->owners[index].scheduler;
   if (const auto* move = std::get_if<scheduler::MoveBox>(&call))
-    owner.Moved(*move, outcome, this->now);
+    owner.MoveAnswered(*move, outcome, this->now);
   else
-    owner.UpkeepBegun(std::get<scheduler::MaintainBox>(call), outcome,
-                      this->now);
+    owner.MaintenanceAnswered(std::get<scheduler::MaintainBox>(call), outcome,
+                              this->now);
 }
 
 // --- What may be away ---
--- a/testing/scheduler_model_messages.cc
+++ b/testing/scheduler_model_messages.cc
@@ -83,13 +83,14 @@
                                const scheduler::StartRun& order) {
   scheduler::Scheduler& by = *this->owners[index].scheduler;
   const base::Micros end = by.LeaseEnd(this->now);
-  const base::Micros deadline = milliseconds(by.Deadline(order.worker, end));
+  const base::Micros deadline =
+      milliseconds(by.LeaseDeadline(order.worker, end));
   if (deadline <= base::Micros::zero() || end <= this->now ||
-      !by.StillWanted(order)) {
-    by.Started(order, CommandOutcome::kNotSent, this->now);
+      !by.IsStillNeeded(order)) {
+    by.StartAnswered(order, CommandOutcome::kNotSent, this->now);
     return;
   }
-  by.Granted(order.worker, end);
+  by.LeaseGranted(order.worker, end);
   const std::uint64_t epoch = this->owners[index].epoch;
   auto clock = std::make_shared<base::Micros>();
   this->Deliver(
@@ -99,8 +100,8 @@
         return this->BeginRun(worker, order, epoch, deadline);
       },
       [this, index, order, clock](CommandOutcome outcome) {
-        this->owners[index].scheduler->Started(order, outcome, this->now,
-                                               base::Millis(*clock));
+        this->owners[index].scheduler->StartAnswered(order, outcome, this->now,
+                                                     base::Millis(*clock));
       });
 }
 
@@ -125,7 +126,7 @@
         return CommandOutcome::kDone;
       },
       [this, index, order](CommandOutcome outcome) {
-        this->owners[index].scheduler->Stopped(order, outcome, this->now);
+        this->owners[index].scheduler->StopAnswered(order, outcome, this->now);
       });
 }
 
@@ -134,11 +135,11 @@
   scheduler::Scheduler& by = *this->owners[index].scheduler;
   const base::Micros end = by.LeaseEnd(this->now);
   const base::Micros deadline =
-      order.renews_lease ? milliseconds(by.Deadline(order.worker, end))
+      order.renews_lease ? milliseconds(by.LeaseDeadline(order.worker, end))
                          : milliseconds(0);
-  by.LookSent(order, this->now);
+  by.PollSent(order, this->now);
   if (deadline > base::Micros::zero())
-    by.LookGrants(order.worker, end);
+    by.PollGrantsLease(order.worker, end);
   const std::uint64_t epoch = this->owners[index].epoch;
   auto listing = std::make_shared<scheduler::WorkerReport>();
   this->Deliver(
@@ -155,9 +156,9 @@
       [this, index, order, listing](CommandOutcome outcome) {
         scheduler::Scheduler& owner = *this->owners[index].scheduler;
         if (outcome == CommandOutcome::kDone)
-          owner.Listed(order.worker, *listing, this->now);
+          owner.WorkerReported(order.worker, *listing, this->now);
         else
-          owner.LookFailed(order.worker, outcome, this->now);
+          owner.PollFailed(order.worker, outcome, this->now);
       });
 }
 
--- a/testing/scheduler_model_store.cc
+++ b/testing/scheduler_model_store.cc
@@ -42,7 +42,7 @@
     const StoredJob& stored = this->jobs.at(id);
     jobs::Progress progress = jobs::DecodeProgress(stored.progress).value();
     if (progress.IsOver()) {
-      owner.JobIsOver(id, this->now);
+      owner.UnknownJobIsOver(id, this->now);
       return;
     }
     scheduler::Job job = this->Make(id, std::move(progress));
@@ -70,7 +70,7 @@
     return true;
   };
   const auto answer = [this, index](const scheduler::SaveResult& result) {
-    this->owners[index].scheduler->Saved(result, this->now);
+    this->owners[index].scheduler->ProgressSaved(result, this->now);
   };
   const base::Micros away_for = this->jobs.at(save.job).away_until - this->now;
   const bool away = away_for > base::Micros::zero();
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -114,7 +114,7 @@
     this->After(this->Between(20, 1500), [this, i, id = worker.id] {
       const Worker& there = this->workers.at(id);
       if (there.alive && there.announced)
-        this->owners[i].scheduler->PutWorker(this->InfoOf(there), this->now);
+        this->owners[i].scheduler->UpdateWorker(this->InfoOf(there), this->now);
     });
   }
 }
@@ -134,7 +134,7 @@
   this->After(this->Between(3000, 4500), [this, life = worker.id] {
     this->workers.at(life).announced = false;
     for (Owner& owner : this->owners)
-      owner.scheduler->WorkerUnlisted(life, this->now);
+      owner.scheduler->WorkerDeregistered(life, this->now);
   });
 }
 
