--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -1,11 +1,13 @@
-// Decides which task runs where, for all pools. One daemon at a time owns this
-// (its epoch is the fencing token at workers); it keeps in memory what the
-// store and the workers' listings say. Facts go in, actions come out; no I/O,
-// no clock.
+// Assigns tasks to workers in all pools. One daemon at a time owns a shard's
+// scheduler; its epoch is the fencing token that workers check. The state held
+// here is a cache of the store and of worker reports. The class performs no I/O
+// and reads no clock: events are passed in and the actions to perform are
+// returned.
 //
-// A placement is recorded in the job's row, under the row's version, before the
-// worker is told: so two owners can never place one task at the same time, and
-// a later owner knows which worker to ask, or to wait out, for each task.
+// A placement is written to the job's row, conditional on the row version,
+// before the worker is contacted. Two owners therefore cannot place the same
+// task concurrently, and a later owner knows for each task which worker to
+// query or whose lease to wait out.
 
 #ifndef SCHEDULER_SCHEDULER_H_
 #define SCHEDULER_SCHEDULER_H_
@@ -37,33 +39,34 @@
 namespace quartzhoist::scheduler {
 
 struct SchedulerLimits {
-  base::Micros lease_duration{};                // granted to workers at a time
-  base::Micros max_lease_after_confirmation{};  // no lease lasts longer after a
-                                                // confirmation
-  // No order grants more than this, on any clock.
+  base::Micros lease_duration{};  // granted to a worker at a time
+  base::Micros
+      max_lease_after_confirmation{};  // bound after the last confirmation
+  // Longest lease that one command grants, on any clock.
   base::Micros max_grant{};
-  // Workers cut any grant to this, on any clock.
+  // Workers shorten any longer grant to this, on any clock.
   base::Micros max_lease{};
-  base::Micros max_stop_time{};  // a stop takes at most so long
-  std::uint64_t epoch = 1;       // of this ownership, from 1
-  int shards = 1;                // over which the jobs are spread
-  // Lists every box, and says which boxes a wave covers.
+  base::Micros max_stop_time{};  // upper bound for stopping a run
+  std::uint64_t epoch = 1;       // of this ownership, counted from 1
+  int shards = 1;                // the jobs are partitioned into these
+  // Durations of box moves and of box maintenance.
   FleetLimits fleet;
 };
 
 enum class SaveOutcome {
   kSaved,
   kConflict,
-  kFailed,    // to be tried again
-  kRejected,  // cannot be saved as it is
+  kFailed,    // the save is retried
+  kRejected,  // the store does not accept this content
 };
 
 struct SaveResult {
   std::string job;
   std::uint64_t change = 0;
   SaveOutcome outcome = SaveOutcome::kFailed;
-  std::uint64_t version = 0;  // the row's now, where known
-  // With kConflict: what the row holds; nothing if it is gone or unreadable.
+  std::uint64_t version = 0;  // current row version, if known
+  // With kConflict: the stored progress; empty if the row is missing or
+  // unreadable.
   std::optional<jobs::Progress> stored;
 };
 
@@ -71,40 +74,41 @@
  public:
   explicit Scheduler(const SchedulerLimits& limits);
 
-  // --- Facts about configuration and workers ---
+  // --- Configuration and worker events ---
   void SetConfig(const jobs::Config& config, base::Micros now);
   void UpdateWorker(const WorkerInfo& info, base::Micros now);
-  // Its announcement is gone; it may still run what it has.
+  // The worker's registration was removed; its runs may still be active.
   void WorkerDeregistered(const std::string& id, base::Micros now);
-  // A worker that an earlier owner may have granted a lease until then. Until
-  // it has been listed and recorded anew, this owner grants it none.
+  // Adds a worker to which an earlier owner may have granted a lease until
+  // `lease_end`. This owner grants it no lease until it has reported and has
+  // been recorded again.
   void InheritWorker(const WorkerInfo& info, base::Micros lease_end);
-  // The stored list names these as held by this owner.
+  // The stored worker list names this owner as the lease holder of `lives`.
   void WorkersRecorded(const std::vector<jobs::WorkerLife>& lives);
   // This shard's share of an organisation's quota, in thousandths.
   void SetQuotaShare(const std::string& organisation, int share) {
     this->quotas.SetShare(organisation, share);
   }
-  // A store answer confirmed the ownership; `at` is when it was asked. Nobody
-  // else takes over before `certain_until`.
+  // The store confirmed the ownership in response to a request sent at `at`. No
+  // other owner takes over before `certain_until`.
   void OwnershipConfirmed(base::Micros at, base::Micros certain_until);
 
-  // --- Facts about jobs ---
+  // --- Job events ---
   void AddJob(Job&& added, base::Micros now);
   void CancelJob(const std::string& id, base::Micros now);
-  // The answer to ReadJob, where nothing of the job is to run any more.
+  // Response to LoadJob if no task of the job is to run any more.
   void UnknownJobIsOver(const std::string& id, base::Micros now);
   void ProgressSaved(const SaveResult& result, base::Micros now);
 
-  // --- What came of actions ---
-  // `asked` is the life that was meant; another may have answered.
+  // --- Results of actions ---
+  // `asked` is the incarnation that was polled; another one may have answered.
   void WorkerReported(const jobs::WorkerLife& asked,
                       const WorkerReport& listing,
                       base::Micros now);
   void PollFailed(const jobs::WorkerLife& worker,
                   CommandOutcome outcome,
                   base::Micros now);
-  // `clock_ms` is the worker's clock, as its answer gave it; 0: not known.
+  // `clock_ms` is the worker's clock as read from its response; 0 if unknown.
   void StartAnswered(const StartRun& order,
                      CommandOutcome outcome,
                      base::Micros now,
@@ -112,18 +116,19 @@
   void StopAnswered(const StopRun& order,
                     CommandOutcome outcome,
                     base::Micros now);
-  // The answer to AskAdvice, or nothing if there was none.
+  // Response to RequestAdvice; empty if there was none.
   void AdviceAnswered(const RequestAdvice& asked,
                       const std::optional<Advice>& advice,
                       base::Micros now);
-  // An order that grants a lease until `end` is about to be sent.
+  // A command that grants a lease until `end` is about to be sent.
   void LeaseGranted(const jobs::WorkerLife& worker, base::Micros end);
   void PollSent(const PollWorker& order, base::Micros now);
-  // The look that is sent now grants a lease until `end`.
+  // The poll that is being sent grants a lease until `end`.
   void PollGrantsLease(const jobs::WorkerLife& worker, base::Micros end);
 
   // --- Boxes ---
-  // What an earlier owner recorded before it called; told before anything else.
+  // Box calls that an earlier owner recorded before making them. Must be the
+  // first event that is passed in.
   void InheritBoxCalls(const std::vector<BoxCall>& calls, base::Micros now);
   void SetWave(const Wave& wave,
                const std::vector<std::string>& begun,
@@ -138,7 +143,7 @@
                            BoxCallOutcome outcome,
                            base::Micros now);
 
-  // Lets time pass: leases run out, tasks are placed, looks fall due.
+  // Advances to `now`: expires leases, places tasks and issues due polls.
   void Advance(base::Micros now);
   std::vector<Action> TakeActions();
 
@@ -146,13 +151,13 @@
   // ----------------------------------------------------------------- Is the
   // order still to be sent? Its run may have been given up meanwhile.
   bool IsStillNeeded(const StartRun& order) const;
-  // When a lease granted now is to end, on our clock.
+  // End of a lease granted at `now`, on the local clock.
   base::Micros LeaseEnd(base::Micros now) const;
-  // A worker's deadline for a lease until `end`, on the worker's clock.
+  // Deadline on the worker's clock for a lease until `end` on the local clock.
   std::int64_t LeaseDeadline(const jobs::WorkerLife& worker,
                              base::Micros end) const;
   const Worker* FindWorker(const jobs::WorkerLife& life) const;
-  // The life that is known under the id.
+  // The known incarnation of the worker `id`, or null.
   const Worker* FindWorker(const std::string& id) const;
   const std::map<jobs::WorkerLife, Worker>& all_workers() const {
     return this->workers;
@@ -160,38 +165,39 @@
   const std::unordered_map<std::string, Job>& all_jobs() const {
     return this->jobs;
   }
-  // Rises when a worker comes, goes, or is listed for the first time.
+  // Incremented when a worker is added, removed, or reports for the first time.
   std::uint64_t worker_changes() const { return this->worker_change_count; }
   bool needs_box_list() const { return this->fleet.WantsBoxes(); }
-  // A call for the box is to be made, or its outcome is not known.
+  // A call for the box is pending, or its outcome is unknown.
   bool HasOpenBoxCall(const std::string& box) const {
     return this->fleet.HasOpenCall(box);
   }
-  // A worker saw a higher epoch: this ownership is over.
+  // A higher epoch was seen at a worker or in a row: this ownership is over.
   bool fenced() const { return this->is_fenced; }
-  // Accepted jobs of the queue none of whose tasks has been started.
+  // Number of accepted jobs without a started task, by queue.
   std::map<std::string, int> WaitingJobs() const;
   std::vector<PoolState> PoolStates(base::Micros now) const;
-  // How organisations with a quota stand in this shard.
+  // Quota needs in this shard of the organisations that have a quota.
   std::map<std::string, QuotaNeed> QuotaNeeds() const {
     return this->quotas.Needs();
   }
-  // Every worker that may hold a lease has been listed by this owner, so that
-  // all that runs is known.
+  // Every worker that may hold a lease has reported to this owner, so that all
+  // active runs are known.
   bool KnowsAllRuns(base::Micros now) const;
-  // Kinds of boxes, by their workers' labels.
+  // Distinct box kinds, as given by the workers' labels.
   std::vector<std::string> BoxKinds() const;
 
  private:
-  // One turn of a pool: its workers, and what was tried in vain.
+  // State of one placement pass over a pool: its usable workers and the steps
+  // that could not be placed.
   struct PlacementPass {
     std::vector<Worker*> candidates;
-    // Steps that cannot be placed, and why.
+    // Steps that could not be placed in this pass, with the reason.
     std::map<std::pair<const Job*, int>, WaitReason> unplaceable_steps;
     int misses = 0;
   };
 
-  // A member of a step, and the worker picked for it.
+  // A task of a step and the worker selected for it.
   struct Assignment {
     TaskPosition place;
     Worker* worker = nullptr;
@@ -203,7 +209,7 @@
   void Release(Job& job, base::Micros now);
   base::Micros LongestChain(const Job& job, std::size_t from) const;
   base::Micros ExpectedRun(const Job& job, const jobs::Step& step) const;
-  // From acceptance on, for all of its steps.
+  // Latency objective of the whole job, counted from its acceptance.
   base::Micros ObjectiveOf(const Job& job) const;
   void MarkChanged(Job& job);
   void FinishJob(Job& job, jobs::JobState state, base::Micros now);
@@ -211,7 +217,7 @@
   void SaveChangedJobs(base::Micros now);
   void ReleaseDueRepeats(base::Micros now);
 
-  // ends
+  // run ends
   void ProcessRunEnd(Worker& worker, const ReportedEnd& end, base::Micros now);
   void ApplyRunEnd(Job& job,
                    const jobs::WorkerLife& worker,
@@ -223,7 +229,7 @@
                          int run,
                          const jobs::WorkerLife& worker,
                          base::Micros now);
-  // The run is over and did not finish the task: it is to be placed again.
+  // The run is over without completing its task, which is queued again.
   void HandleLostRun(const jobs::TaskId& id, int run, base::Micros now);
   void ThrottleFillers(Worker& worker);
   void MigrateOffUnhealthyWorker(Worker& worker, base::Micros now);
@@ -237,7 +243,7 @@
                    base::Micros now);
   void UpdateFailureRate(Worker& worker, bool failed, base::Micros now);
 
-  // workers that were lost under tasks
+  // worker losses and the tasks suspected of causing them
   std::map<jobs::TaskId, jobs::WorkerLoss> CollectLosses(
       const Worker& worker,
       const std::map<jobs::TaskId, Run>& runs,
@@ -267,7 +273,7 @@
                              base::Micros now) const;
   void UpdateSuspicion(Worker& worker, const jobs::TaskId& id, Run& run);
 
-  // what workers tell of jobs that are not known yet
+  // reports about jobs that have not been loaded
   struct UnknownJob {
     std::vector<std::pair<jobs::WorkerLife, ReportedEnd>> ends;
     std::vector<std::pair<jobs::WorkerLife, jobs::TaskId>> runs;
@@ -280,7 +286,7 @@
                           const ReportedEnd& end,
                           std::uint64_t change);
 
-  // listings
+  // worker reports
   Worker* ApplyCommandOutcome(const jobs::WorkerLife& life,
                               CommandOutcome outcome,
                               base::Micros now);
@@ -300,10 +306,10 @@
                           base::Micros now);
   void AdvanceAcknowledged(Worker& worker);
 
-  // lives of workers
+  // worker incarnations
   Worker* FindIncarnation(const jobs::WorkerLife& life);
   Worker* CurrentIncarnation(const std::string& id);
-  // This life, or a later one that may have what was meant for it.
+  // This incarnation, or a later one that may have runs meant for it.
   Worker* FindHolder(const jobs::WorkerLife& life);
   bool HasEnded(const jobs::WorkerLife& life) const;
   Worker* FindResponder(const jobs::WorkerLife& asked,
@@ -316,11 +322,12 @@
                    const jobs::TaskId& id,
                    Run run,
                    const std::optional<PossibleLoss>& loss);
-  // This life is over: nothing of it runs.
+  // Removes a worker incarnation of which no run is active any more.
   void RemoveWorker(const jobs::WorkerLife& life,
                     LossReason sign,
                     base::Micros now);
-  // The same for good: its announcement may still stand, and be read again.
+  // As RemoveWorker, and ignores the incarnation if its registration is still
+  // stored and is read again.
   void EndIncarnation(const jobs::WorkerLife& life,
                       LossReason sign,
                       base::Micros now);
@@ -331,7 +338,7 @@
                       base::Micros now);
   void DropAllRuns(Worker& worker, LossReason sign, base::Micros now);
 
-  // leases and looks
+  // leases and polls
   void ExpireLeases(base::Micros now);
   void IssueDuePolls(base::Micros now);
   void IssueDueStops(base::Micros now);
@@ -359,7 +366,7 @@
               const jobs::Step& step,
               int number,
               RunState state);
-  // The placements up to this change are saved: their workers are told.
+  // Issues the starts whose placements have been saved.
   void StartSavedPlacements(Job& job, base::Micros now);
   void InheritRuns(Job& job, base::Micros now);
   void InheritRun(Job& job,
@@ -372,7 +379,7 @@
                           const TaskPosition& place,
                           const jobs::Placement& placement);
   void CancelPlan(Job& job, const TaskPosition& place);
-  // Another owner wrote the job's row.
+  // Takes over progress that another owner wrote to the job's row.
   void MergeStoredProgress(Job& job,
                            const jobs::Progress& stored,
                            base::Micros now);
@@ -403,16 +410,16 @@
 
   SchedulerLimits limits;
   jobs::Config config;
-  std::map<jobs::WorkerLife, Worker> workers;  // one life of each id
-  // The latest start of a life that is over, by id, until its announcement is
-  // gone.
+  std::map<jobs::WorkerLife, Worker> workers;  // one incarnation per id
+  // Start time of the latest ended incarnation, by worker id, until its
+  // registration is removed.
   std::map<std::string, std::int64_t> ended_incarnations;
   std::unordered_map<std::string, Job> jobs;
   std::map<std::string, UnknownJob> unknown_jobs;
   std::map<std::string, ReadyTasks> ready;  // by service
   OpenLosses open_losses;
-  std::set<std::string> jobs_to_save;    // jobs whose progress changed
-  std::set<std::string> repeating_jobs;  // jobs with repeats to come
+  std::set<std::string> jobs_to_save;    // jobs with unsaved progress
+  std::set<std::string> repeating_jobs;  // jobs with future repeats
   RunTimes run_times;
   Demand demand;
   Quotas quotas;
@@ -427,8 +434,7 @@
   std::uint64_t last_ready_number = 0;
   std::uint64_t worker_change_count = 0;
   bool is_fenced = false;
-  bool save_immediately =
-      false;  // a placement or a final state waits to be saved
+  bool save_immediately = false;  // a placement or a final state is unsaved
 };
 
 }  // namespace quartzhoist::scheduler
