--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -1,5 +1,5 @@
-// What the scheduler wants done. The caller carries the actions out and tells
-// what came of each.
+// Actions that the scheduler requests. The caller performs them and passes the
+// result of each back to the scheduler.
 
 #ifndef SCHEDULER_ACTIONS_H_
 #define SCHEDULER_ACTIONS_H_
@@ -20,12 +20,12 @@
   jobs::WorkerLife worker;
   jobs::TaskId task;
   int run = 0;
-  std::string text;        // the job's, handed on
-  std::string checkpoint;  // to resume from; empty: none
-  std::string ticket;      // where the queue asks for advice; else empty
+  std::string text;        // of the job, passed through
+  std::string checkpoint;  // to resume from; empty if none
+  std::string ticket;      // empty if the queue requires no advice
 };
 
-// Asks which of these workers may run the step.
+// Requests which of these workers are allowed to run the step.
 struct RequestAdvice {
   std::string job;
   int occurrence = 0;
@@ -39,7 +39,7 @@
   int run = 0;
 };
 
-// Lets a task work at this share of its speed.
+// Limits a task to this percentage of its full speed.
 struct ThrottleRun {
   jobs::WorkerLife worker;
   jobs::TaskId task;
@@ -47,42 +47,45 @@
   int percent = 100;
 };
 
-// Renews the worker's lease and asks for its listing.
+// Requests a worker's status report and optionally renews its lease.
 struct PollWorker {
   jobs::WorkerLife worker;
-  std::int64_t acknowledged = 0;  // it may forget ends up to this number
-  base::Micros max_wait{};        // for an end, before it answers
-  bool renews_lease = true;       // grants a lease anew
+  std::int64_t acknowledged =
+      0;                     // ends up to this sequence number may be discarded
+  base::Micros max_wait{};   // time to wait for a run end
+  bool renews_lease = true;  // grants a new lease
 };
 
-// Records a job's progress, if its row still has `version`.
+// Writes a job's progress on condition that its row still has `version`.
 struct SaveProgress {
   std::string job;
   std::string text;
   std::uint64_t version = 0;
   std::uint64_t change = 0;  // returned with the outcome
-  // Nothing of it runs or will: what its caller sent is not needed any more.
+  // No task of the job runs or will run: the caller's request is not needed any
+  // more.
   bool is_over = false;
 };
 
-// A worker tells of a job that this owner does not know: it is to be read from
-// the store, and added, or said to be over.
+// A worker reports a job that this owner has not loaded. The caller reads it
+// from the store and calls AddJob or UnknownJobIsOver.
 struct LoadJob {
   std::string job;
 };
 
-// What an owner knew of a box when it decided on a call, for the log.
+// What the owner knew about a box when it decided on a call, for the log.
 struct BoxCallContext {
-  base::Micros confirmed_ago{};    // the ownership, by the store
-  base::Micros last_answer_ago{};  // of the box's worker; negative: never
-  // Runs there were taken as over with their lease; nothing was heard since.
+  base::Micros confirmed_ago{};    // of the ownership by the store
+  base::Micros last_answer_ago{};  // by the box's worker; negative if never
+  // Runs there were presumed over when their lease expired, and the worker has
+  // not answered since.
   bool runs_presumed_over = false;
 };
 
 struct MoveBox {
   std::string box;
   std::string pool;
-  jobs::WorkerLife life;  // there when it was decided; empty: none
+  jobs::WorkerLife life;  // on the box at decision time; empty if none
   BoxCallContext context;
 };
 
@@ -93,71 +96,71 @@
   BoxCallContext context;
 };
 
-// A call for a box, recorded before it is made: the next owner makes it again
-// under its own epoch, so that the box refuses the earlier owner's.
+// A box call is recorded before it is made. The next owner repeats it under its
+// own epoch, so that the box rejects a late call of the earlier owner.
 using BoxCall = std::variant<MoveBox, MaintainBox>;
 
-// How far a wave is: recorded for a later owner and for the operators.
+// Progress of a maintenance wave, recorded for later owners and for operators.
 struct ReportWave {
   int wave = 0;
   WaveState state = WaveState::kRunning;
-  std::vector<std::string> begun;  // boxes whose upkeep has begun
+  std::vector<std::string> begun;  // boxes whose maintenance has begun
 };
 
-// For the log: why something was decided.
+// Log entry: the reason for a decision.
 struct LogNote {
   std::string subject;  // a job, task, worker or box
   std::string text;
 };
 
-// A run on a worker that was lost.
+// A run that was assigned to a lost worker.
 struct LostRun {
   jobs::TaskId task;
   int run = 0;
-  base::Micros age{};        // since its order was decided
-  bool is_answered = false;  // its start was, or it was listed
+  base::Micros age{};        // since its start was decided
+  bool is_answered = false;  // its start was answered or it was reported
 };
 
-// For the log: what ran on a worker is over without ends of its own.
+// Log entry: the runs on a worker are over without reported ends.
 struct WorkerLost {
   jobs::WorkerLife worker;
   std::string box;
   LossReason reason = LossReason::kLeaseExpired;
-  base::Micros last_answer_ago{};  // its last answer; negative: none
-  std::vector<LostRun> runs;       // the newest first
+  base::Micros last_answer_ago{};  // negative if it never answered
+  std::vector<LostRun> runs;       // newest first
 };
 
-// For the log: a worker has started again under its id.
+// Log entry: a worker has restarted under the same id.
 struct WorkerRestarted {
   jobs::WorkerLife worker;
   std::int64_t earlier_born_ms = 0;
-  std::int64_t last_end_sequence =
-      0;                     // the highest number read from the earlier life
-  int transferred_runs = 0;  // that the next life may have begun
+  std::int64_t last_end_sequence = 0;  // of the earlier incarnation
+  int transferred_runs = 0;            // may be active in the new incarnation
 };
 
-// For the log: an end was passed over for its number, of a run that the owner
-// still counts on.
+// Log entry: a reported end was ignored because its sequence number is not
+// above the last one processed, although the owner still tracks its run.
 struct RunEndIgnored {
   jobs::WorkerLife worker;
   ReportedEnd end;
-  std::int64_t last_end_sequence = 0;  // the highest number read before
+  std::int64_t last_end_sequence = 0;  // processed before
 };
 
-// For the log: workers crashed under the task, and it is not started any more.
+// Log entry: workers crashed while running the task, so it is not started
+// again.
 struct TaskGivenUp {
   std::string job;
   jobs::TaskKey task;
   jobs::WorkerLosses losses;
 };
 
-// For the log: a job is over, and where its time went.
+// Log entry: a job has finished, with a breakdown of the time it took.
 struct JobFinished {
   std::string job;
   std::string queue;
   jobs::JobState state = jobs::JobState::kCompleted;
   base::Micros duration{};   // since it was accepted
-  base::Micros objective{};  // within which it was to be completed
+  base::Micros objective{};  // for its completion
   JobTimings timings;
 };
 
