--- a/scheduler/facts.h
+++ b/scheduler/facts.h
@@ -1,4 +1,4 @@
-// What the scheduler is told, in its own terms.
+// Events and reports that are passed to the scheduler.
 
 #ifndef SCHEDULER_FACTS_H_
 #define SCHEDULER_FACTS_H_
@@ -15,7 +15,7 @@
 
 namespace quartzhoist::scheduler {
 
-// One life of a worker's process, as it announces itself.
+// One incarnation of a worker process, as the worker registers itself.
 struct WorkerInfo {
   jobs::WorkerLife life;
   std::string box;
@@ -28,24 +28,24 @@
   bool draining = false;
 };
 
-// A box as the platform lists it.
+// Box as listed by the platform.
 enum class BoxState { kUp, kMoving, kMaintenance, kDown };
 
 struct BoxInfo {
   std::string name;
   std::string pool;
   BoxState state = BoxState::kUp;
-  std::string worker;  // the id of the life on it, or empty
-  double cores = 0.0;  // of its capacity
+  std::string worker;  // id of the worker on the box, or empty
+  double cores = 0.0;  // CPU capacity
 };
 
-// By what it is known that nothing of a worker's life runs any more.
+// Evidence that no run of a worker incarnation is active any more.
 enum class LossReason {
-  kLeaseExpired,      // it did not answer until its lease was over
-  kOtherIncarnation,  // another life answers at its address
-  kRestarted,         // a later life of it answers or announces itself
-  kBoxReclaimed,      // its box was moved or went into its upkeep
-  kDeregistered,  // it had said that it leaves, or withdrawn its announcement
+  kLeaseExpired,      // it did not answer until its lease expired
+  kOtherIncarnation,  // another incarnation answers at its address
+  kRestarted,         // a later incarnation answered or registered
+  kBoxReclaimed,      // its box was moved or entered maintenance
+  kDeregistered,      // it announced its shutdown or removed its registration
 };
 
 inline constexpr base::EnumNames<LossReason, 5> kLossReasonNames{{
@@ -75,45 +75,45 @@
     {RunEndReason::kAlone, "alone"},
 }};
 
-// A run that a worker says it has.
+// An active run in a worker's report.
 struct ReportedRun {
   jobs::TaskId task;
   int run = 0;
-  std::string checkpoint;  // the newest; empty: none
-  int percent = 0;         // of its work; 100 for a lasting task at work
-  // A rough figure of the last half second: a serving task's tail latency in
-  // ms, any other's processor use in thousandths of a core; -1 unknown.
+  std::string checkpoint;  // the latest; empty if none
+  int percent = 0;         // 100 for a long-running task in full service
+  // Estimate over the last 500 ms: the tail latency in ms of a serving task, or
+  // the CPU use in thousandths of a core of any other; -1 if unknown.
   std::int64_t load = -1;
 };
 
 struct ReportedEnd {
-  std::int64_t sequence = 0;  // rises from 1 in each life of a worker
+  std::int64_t sequence = 0;  // counts from 1 in each incarnation of a worker
   jobs::TaskId task;
   int run = 0;
   RunEndReason reason = RunEndReason::kFailed;
   std::string checkpoint;
 };
 
-// A worker's account of itself.
+// A worker's status report.
 struct WorkerReport {
-  jobs::WorkerLife life;      // that answered
+  jobs::WorkerLife life;      // the incarnation that answered
   std::int64_t clock_ms = 0;  // the worker's own clock
   std::vector<ReportedRun> running;
   std::vector<ReportedEnd> ended;
 };
 
-// How an order to a worker was answered.
+// Outcome of a command sent to a worker.
 enum class CommandOutcome {
   kDone,
-  kNotSent,       // no byte left; it was not and will not be carried out
-  kUnknown,       // no answer: it may have been, or may yet be, carried out
-  kFenced,        // a higher epoch has been seen there
-  kSuperseded,    // this run, or a later one, has ended there
-  kLeaseExpired,  // its lease was over when it came
+  kNotSent,       // no byte was sent; it will not be executed
+  kUnknown,       // no answer; it may have been or may still be executed
+  kFenced,        // the worker has seen a higher epoch
+  kSuperseded,    // this run or a later one has already ended there
+  kLeaseExpired,  // its lease had expired when it arrived
   kNoCapacity,
-  kNoTicket,          // the advice does not cover it
-  kBusy,              // the worker is unhealthy; nothing was done
-  kOtherIncarnation,  // another life answers at this address
+  kNoTicket,          // not covered by the advice
+  kBusy,              // the worker is unhealthy; not executed
+  kOtherIncarnation,  // another incarnation answers at this address
 };
 
 inline constexpr base::EnumNames<CommandOutcome, 10> kCommandOutcomeNames{{
@@ -129,13 +129,13 @@
     {CommandOutcome::kOtherIncarnation, "other_life"},
 }};
 
-// Which workers may run a step, each with the ticket that proves it.
+// Workers that are allowed to run a step, each with its authorising ticket.
 struct Advice {
   std::map<jobs::WorkerLife, std::string> tickets;
-  base::Micros valid_for{};  // from when it was asked
+  base::Micros valid_for{};  // counted from the request
 };
 
-// A wave: these boxes get their upkeep, at most so many at a time.
+// Maintenance wave over a set of boxes with limited concurrency.
 struct Wave {
   int number = 0;
   std::vector<std::string> boxes;
