--- a/scheduler/job.h
+++ b/scheduler/job.h
@@ -1,4 +1,4 @@
-// A job as the scheduler keeps it: its tasks, what has ended, what is next.
+// In-memory state of a job: its steps and tasks, and which are ready or done.
 
 #ifndef SCHEDULER_JOB_H_
 #define SCHEDULER_JOB_H_
@@ -19,22 +19,22 @@
 namespace quartzhoist::scheduler {
 
 enum class TaskState {
-  kBlocked,  // steps before it are not done, or its time has not come
+  kBlocked,  // its predecessors are not done, or it is not due
   kReady,
-  kPlaced,  // a run of it is, or may be, on a worker
+  kPlaced,  // a run of it is, or may be, active on a worker
   kDone,
-  kFailed,   // all its attempts failed
-  kGivenUp,  // workers crash under it: it is not started again
+  kFailed,   // all of its attempts failed
+  kGivenUp,  // workers crash while running it; not started again
 };
 
-// What a ready task waits for.
+// What a ready task is waiting for.
 enum class WaitReason {
-  kCapacity,          // on the boxes of its pool, or its turn
-  kQuota,             // its organisation's is used up
-  kNoSuitableWorker,  // no worker has its label, or is large enough
-  kAdvice,            // on which workers it may run
-  kLease,             // one that ran out may have been renewed by another owner
-  kSuspect,  // it is to start alone, or once its workers' fate is known
+  kCapacity,          // free capacity in its pool, or its turn
+  kQuota,             // its organisation's quota is exhausted
+  kNoSuitableWorker,  // no worker has its label and is large enough
+  kAdvice,            // which workers are allowed to run it
+  kLease,             // another owner may have renewed an expired lease
+  kSuspect,           // an idle worker, or the outcome of lost workers
 };
 
 inline constexpr base::EnumNames<WaitReason, 6> kWaitReasonNames{{
@@ -46,7 +46,7 @@
     {WaitReason::kSuspect, "suspect"},
 }};
 
-// Could a box more let the task begin?
+// Whether an additional box could let the task start.
 constexpr bool MoreBoxesMayHelp(WaitReason reason) {
   return reason != WaitReason::kQuota &&
          reason != WaitReason::kNoSuitableWorker;
@@ -55,44 +55,45 @@
 struct Task {
   TaskState state = TaskState::kBlocked;
   jobs::WorkerLife worker;  // while placed
-  int run = 0;              // while placed: the run's number
-  int latest_run = 0;       // the highest number ever given
-  int inherited_run = 0;  // the newest of earlier owners that is accounted for
-  bool is_serving = false;  // lasting: has been seen at full work
-  std::string checkpoint;   // newest seen; empty: none
+  int run = 0;              // run number, while placed
+  int latest_run = 0;       // highest run number assigned so far
+  int inherited_run = 0;    // latest run of earlier owners accounted for
+  bool is_serving = false;  // long-running task: reported in full service
+  std::string checkpoint;   // latest reported; empty if none
   base::Micros ready_since{};
-  // The newest run was taken as over because its lease ran out. Another owner
-  // may have renewed that lease unless the store has confirmed this one since.
+  // When the latest run was presumed over because its lease had expired.
+  // Another owner may have renewed that lease unless the store has confirmed
+  // this ownership since.
   base::Micros lease_expired_at{};
   WaitReason wait_reason = WaitReason::kCapacity;  // while ready
-  base::Micros latest_loss_at{};  // when a worker's was last noted under it
-  std::vector<jobs::WorkerLife> failed_on;  // newest last
-  int migrations = 0;  // times it was taken off a stalled or slow worker
+  base::Micros latest_loss_at{};            // last worker loss recorded for it
+  std::vector<jobs::WorkerLife> failed_on;  // latest last
+  int migrations = 0;  // times it was moved off a stalled or slow worker
 };
 
-// What is known of the workers that may run a step.
+// Cached advice on which workers are allowed to run a step.
 struct StepAdvice {
   std::map<jobs::WorkerLife, std::string> tickets;
-  base::Micros valid_until{};   // they hold
-  base::Micros requested_at{};  // when it was last asked for
+  base::Micros valid_until{};   // expiry of the tickets
+  base::Micros requested_at{};  // last request
   bool in_flight = false;
 };
 
-// One step of one repeat.
+// State of one step in one repeat of the job.
 struct StepState {
   std::vector<Task> tasks;
-  bool released = false;  // its tasks may start
+  bool released = false;  // its predecessors are done and it is due
   int tasks_done = 0;
-  StepAdvice advice;  // where the queue asks for it
+  StepAdvice advice;  // used if the queue requires advice
 };
 
-// One repeat of the steps.
+// One repeat of all steps of the job.
 struct Occurrence {
   base::Micros due{};
   std::vector<StepState> steps;
 };
 
-// A task's place within its job.
+// Position of a task within its job.
 struct TaskPosition {
   int occurrence = 0;
   int step = 0;
@@ -105,13 +106,13 @@
   }
 };
 
-// Where a job's time went under this owner, for people.
+// Breakdown of a job's time under this owner, for operators.
 struct JobTimings {
   std::optional<base::Micros> first_placed;  // since it was accepted
-  base::Micros longest_wait{};               // of a task, for a place
-  base::Micros longest_run{};  // of a task, from its place to its end
+  base::Micros longest_wait{};               // of a task, until it is placed
+  base::Micros longest_run{};  // of a task, from its placement to its end
   int runs = 0;                // placed
-  int lost_runs = 0;           // that did not end their task
+  int lost_runs = 0;           // that did not complete their task
 };
 
 struct PendingStart {
@@ -122,37 +123,37 @@
 
 struct Job {
   std::string id;
-  std::string organisation;  // whose quota it counts towards; empty: none
-  jobs::Queue queue;  // as configured, or as it was when the job was accepted
+  std::string organisation;  // charged with its quota; empty if none
+  jobs::Queue queue;         // current configuration, or that at acceptance
   jobs::JobSpec spec;
   jobs::Progress progress;
   std::vector<Occurrence> occurrences;
   base::Micros accepted_at{};
   JobTimings timings;
-  bool exceeds_share = false;  // its organisation had its due jobs already
-  bool has_started = false;    // a worker has said that it started a run of it
-  bool cancelled = false;      // recorded, perhaps not yet carried out
-  // Runs whose placement is being recorded, with the change that holds it;
-  // their workers are told once it is saved.
+  bool exceeds_share = false;  // its organisation had used up its fair share
+  bool has_started = false;    // a worker has confirmed a start
+  bool cancelled = false;      // recorded, perhaps not yet executed
+  // Runs whose placement is being saved, with the change that contains it.
+  // Their starts are sent once that change is saved.
   std::vector<PendingStart> pending_starts;
-  // The row: its version, and which change of `progress` it holds.
+  // Version of the stored row, and the latest change of `progress` in it.
   std::uint64_t version = 0;
   std::uint64_t change = 0;
   std::uint64_t saved_change = 0;
-  std::uint64_t rejected_change = 0;  // which the store does not take
-  // The change that holds its failure, until that is saved; else 0.
+  std::uint64_t rejected_change = 0;  // not accepted by the store
+  // The change that contains the job's failure, until it is saved; else 0.
   std::uint64_t unsaved_failure = 0;
   bool save_in_flight = false;
 
   bool finished() const { return jobs::IsFinal(this->progress.state); }
-  // It is over, and the store says so.
+  // It is finished and, if it failed, its failure has been saved.
   bool end_is_saved() const {
     return this->finished() && this->unsaved_failure == 0;
   }
 };
 
-// Builds the tasks of a job from its spec and what is recorded of it.
-// `time_of_day_offset` is the monotonic clock's reading at 1970.
+// Builds a job from its spec and its stored progress. `time_of_day_offset` is
+// the reading of the monotonic clock at the Unix epoch.
 Job MakeJob(std::string id,
             jobs::Queue queue,
             jobs::JobSpec spec,
@@ -160,19 +161,19 @@
             base::Micros accepted,
             base::Micros time_of_day_offset);
 
-// A later owner's runs are numbered above every earlier owner's, which started
-// fewer runs of one task than this.
+// Range of run numbers per epoch. A later owner's runs are numbered above those
+// of every earlier owner, each of which starts fewer runs of a task than this.
 inline constexpr std::uint64_t kRunsPerEpoch = 1000;
-// The epoch of the owner that gave this number.
+// Epoch of the owner that assigned this run number.
 constexpr std::uint64_t EpochOf(int run) {
   return static_cast<std::uint64_t>(run) / kRunsPerEpoch + 1;
 }
 
-// The task's key in the job's record.
+// Key of the task in the job's stored progress.
 jobs::TaskKey KeyOf(const TaskPosition& place);
 TaskPosition PositionOf(const jobs::TaskId& task);
 jobs::TaskId IdOf(const Job& job, const TaskPosition& place);
-// Does the job have this task?
+// Whether the job contains this task.
 bool HasTask(const Job& job, const TaskPosition& place);
 
 StepState& StepAt(Job& job, const TaskPosition& place);
@@ -180,18 +181,18 @@
 Task& TaskAt(Job& job, const TaskPosition& place);
 const jobs::Step& StepOf(const Job& job, const TaskPosition& place);
 
-// What a task of the step takes of a worker's room.
+// Resources that a task of the step reserves on its worker.
 jobs::Resources ReservedBy(const jobs::Step& step);
 
-// Releases steps whose turn has come; returns the places that became ready, one
-// (the first task) for a gang.
+// Releases steps that are due and whose predecessors are done. Returns the
+// tasks that became ready; for a gang only its first task.
 std::vector<TaskPosition> ReleaseSteps(Job& job, base::Micros now);
 
-// Of its tasks, those that are not started again for the crashes under them.
+// Number of tasks that were given up because of worker crashes.
 int CountGivenUpTasks(const Job& job);
-// Every task of every repeat is done.
+// Whether every task of every repeat is done.
 bool AreAllTasksDone(const Job& job);
-// Has a task that is not done failed as often as its queue allows?
+// Whether an unfinished task has failed as often as its queue allows.
 bool HasExhaustedAttempts(const Job& job);
 
 }  // namespace quartzhoist::scheduler
