--- a/scheduler/job.cc
+++ b/scheduler/job.cc
@@ -120,7 +120,7 @@
 
 jobs::Resources ReservedBy(const jobs::Step& step) {
   jobs::Resources takes = step.each;
-  // What fills uses only processor time that is left over.
+  // A filling task uses only CPU time left over by others, so it reserves none.
   if (step.fills)
     takes.cpu_millis = 0;
   return takes;
