--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -9,8 +9,9 @@
 
 using std::chrono::milliseconds;
 
-// Progress that is not final is saved together, this often at most: each call
-// to the store costs, and an end that is not saved is listed again.
+// Minimum interval between saves of progress that is not final. Store calls are
+// costly, so changes are batched; a run end that has not been saved is reported
+// again by its worker.
 constexpr base::Micros kSavePeriod = milliseconds(200);
 
 }  // namespace
@@ -25,11 +26,12 @@
   this->quotas.SetOrganisations(next.organisations);
   this->due_shares.SetOrganisations(next.organisations);
   for (auto& [id, job] : this->jobs) {
-    // A job of a queue that is gone keeps the terms it was accepted under.
+    // A job whose queue was removed keeps the queue settings it was accepted
+    // with.
     if (const jobs::Queue* queue = this->config.FindQueue(job.queue.name))
       job.queue = *queue;
   }
-  // A queue may have gone to another service: every ready task is put anew.
+  // A queue may now belong to another service, so every ready task is requeued.
   std::map<std::string, ReadyTasks> old;
   old.swap(this->ready);
   for (const auto& [service, tasks] : old) {
@@ -122,11 +124,11 @@
   return this->run_times.Expect(kind, milliseconds(step.estimate_ms));
 }
 
-// The longest chain of steps that begins with this one, or, from the number of
-// steps on, the job's longest of all.
+// Duration of the longest chain of steps that starts at step `from`. If `from`
+// is the number of steps, the longest chain of the whole job.
 base::Micros Scheduler::LongestChain(const Job& job, std::size_t from) const {
   const std::size_t count = job.spec.steps.size();
-  std::vector<base::Micros> after(count);  // the longest chain behind a step
+  std::vector<base::Micros> after(count);  // chain after each step
   base::Micros longest{};
   for (std::size_t s = count; s-- > 0;) {
     const jobs::Step& step = job.spec.steps[s];
@@ -142,8 +144,8 @@
   return longest;
 }
 
-// A job is in time if it is completed within its longest chain, stretched, and
-// the queue's own latency.
+// The objective is the queue's target latency plus the job's longest chain
+// multiplied by the queue's extension factor.
 base::Micros Scheduler::ObjectiveOf(const Job& job) const {
   const base::Micros chain = this->LongestChain(job, job.spec.steps.size());
   return job.queue.target_latency +
@@ -151,9 +153,9 @@
              job.queue.extension * static_cast<double>(chain.count())));
 }
 
-// Of use a job is for three times its objective; the chain is
-// made of mean times here, while a step ends with its slowest task, so that
-// four times the estimate leave nothing out that is of use.
+// A job is useful for up to three times its objective. The chain is computed
+// from mean run times, while a step ends with its slowest task; a factor of
+// four on the estimate therefore excludes no job that is still useful.
 void Scheduler::Enqueue(Job& job, const TaskPosition& place, base::Micros now) {
   constexpr int kOfUseTimes = 4;
   if (!job.progress.losses.empty())
@@ -193,8 +195,9 @@
   job.progress.state = state;
   this->MarkChanged(job);
   this->save_immediately = true;
-  // A later owner that does not know of the failure takes a task whose run is
-  // being stopped for free, and starts it beside that run.
+  // Runs are stopped only after the failure has been saved. Otherwise a later
+  // owner that does not see the failure would treat a task whose run is being
+  // stopped as unassigned and start it a second time beside that run.
   if (state == jobs::JobState::kFailed)
     job.unsaved_failure = job.change;
   else
@@ -231,7 +234,8 @@
   if (this->jobs_to_save.empty() ||
       (now < this->next_save && !this->save_immediately))
     return;
-  // A later owner's row stands: what it holds has not been taken in here.
+  // A later owner's row must not be overwritten: its content has not been
+  // merged here.
   if (this->is_fenced)
     return;
   this->next_save = now + kSavePeriod;
@@ -272,7 +276,8 @@
       }
       break;
     case SaveOutcome::kConflict:
-      // Another owner, or an own write that was thought lost, came first.
+      // Another owner's write, or an own write that was presumed lost, came
+      // first.
       job->version = result.version;
       if (result.stored)
         this->MergeStoredProgress(*job, *result.stored, now);
@@ -288,7 +293,7 @@
           LogNote{job->id, "the store does not take its progress"});
       break;
   }
-  // What was refused is tried again once it has changed.
+  // A rejected change is not retried until the progress changes again.
   if (job->change != job->saved_change && job->change != job->rejected_change)
     this->jobs_to_save.insert(job->id);
 }
@@ -304,7 +309,7 @@
     if (!HasTask(job, place))
       continue;
     const std::uint64_t epoch = EpochOf(placement.run);
-    // A later owner has read the job and goes on with it.
+    // A later owner has loaded the job and continues it.
     if (epoch > this->limits.epoch) {
       this->is_fenced = true;
       return;
@@ -330,7 +335,7 @@
   }
   if (job.finished() && !was_final)
     this->StopAllRuns(job, now);
-  // With the failures that the other writer knew there may be enough.
+  // The merged failures may have used up a task's attempts.
   if (!job.finished() && HasExhaustedAttempts(job))
     this->FinishJob(job, jobs::JobState::kFailed, now);
   this->InheritLosses(job, now);
@@ -343,16 +348,17 @@
   }
 }
 
-// An earlier owner's placement came to light after this owner read the job: its
-// write was on its way. True if it voids what this owner had planned.
+// Handles a placement that an earlier owner wrote after this owner had read the
+// job. Returns true if this cancels the run planned by this owner, so that the
+// task is ready again.
 bool Scheduler::ApplyLatePlacement(Job& job,
                                    const TaskPosition& place,
                                    const jobs::Placement& placement) {
   Task& task = TaskAt(job, place);
   task.inherited_run = placement.run;
   const Worker* worker = this->FindHolder(placement.worker);
-  // A worker that has been listed under this epoch showed the run then, or
-  // refuses it for good.
+  // A worker that has reported under this epoch either included the run or will
+  // reject its start, since it comes with a lower epoch.
   if (!worker || worker->listed || task.state == TaskState::kDone)
     return false;
   this->CancelPlan(job, place);
@@ -360,7 +366,7 @@
   return task.state == TaskState::kReady;
 }
 
-// Gives up a run whose worker has not been told.
+// Cancels a planned run whose worker has not been contacted.
 void Scheduler::CancelPlan(Job& job, const TaskPosition& place) {
   Task& task = TaskAt(job, place);
   std::erase_if(job.pending_starts, [&place](const PendingStart& start) {
@@ -393,8 +399,9 @@
   this->ReleaseDueRepeats(now);
   if (!this->is_fenced && this->LeaseEnd(now) > now)
     this->PlaceTasks(now);
-  // A placement fails by its row's version when another owner has come; nothing
-  // refuses a call for a box that the other one has not called yet.
+  // If another owner has taken over, a placement fails on the row version. A
+  // box call is not protected like that: the box rejects the old epoch only
+  // after the other owner has called it.
   if (!this->is_fenced && now < this->ownership_until)
     this->RunFleet(now);
   this->IssueDueStops(now);
