--- a/scheduler/pacing.cc
+++ b/scheduler/pacing.cc
@@ -1,5 +1,5 @@
-// Filling tasks are slowed down before they harm the tasks that serve beside
-// them.
+// Throttles filling (best-effort) tasks before they degrade the tail latency of
+// serving tasks on the same worker.
 
 #include <algorithm>
 
@@ -9,15 +9,17 @@
 
 namespace {
 
-// Of a serving task's target: above the first the filling tasks beside it are
-// halved, above the second they rest, below the third they may do more.
+// Thresholds on a serving task's tail latency, as fractions of its target.
+// Above kHalveAbove the speed of the filling tasks beside it is halved, above
+// kPauseAbove they are paused, below kRaiseBelow their speed is raised.
 constexpr double kHalveAbove = 0.75;
 constexpr double kRestAbove = 0.95;
 constexpr double kRaiseBelow = 0.55;
-constexpr int kRaise = 20;  // percent a listing
-constexpr int kLeast = 10;  // percent; below that it rests
+constexpr int kRaise = 20;  // percentage points per worker report
+constexpr int kLeast = 10;  // percent; paused below it
 
-// The worst tail on the worker, as a part of its target; negative if none.
+// Highest ratio of tail latency to target on the worker; negative if no serving
+// task has reported one.
 double WorstTail(const Worker& worker) {
   double worst = -1.0;
   for (const auto& [task, run] : worker.runs) {
@@ -45,7 +47,7 @@
   for (auto& [task, run] : worker.runs) {
     if (!run.fills || run.state != RunState::kRunning)
       continue;
-    // With nothing to serve beside it, it works at full speed.
+    // Without a serving task on the worker it runs at full speed.
     const int pace = tail < 0.0 ? 100 : NextPace(run.pace, tail);
     if (pace == run.pace)
       continue;
