--- a/scheduler/advice.cc
+++ b/scheduler/advice.cc
@@ -1,5 +1,5 @@
-// Queues whose steps only some workers may run: which ones is asked for, and
-// the tickets are kept for as long as they hold.
+// Advice for queues whose steps may run only on certain workers: requests which
+// workers are allowed, and caches the tickets while they are valid.
 
 #include <algorithm>
 
@@ -11,14 +11,16 @@
 
 using std::chrono::milliseconds;
 
-// Workers named in a call: twice the tasks and a few. Each costs the service's
-// time; the pages count 30 a step as usual and allow 100.
+// Number of workers named in a request: twice the number of tasks plus
+// kSpareWorkers, at most kMaxWorkers. Each named worker adds to the service's
+// processing time; the platform documentation gives 30 per step as usual and
+// 100 as the limit.
 constexpr std::size_t kSpareWorkers = 4;
 constexpr std::size_t kMostWorkers = 30;
-// An answer that named nobody, or did not come, is asked for again after this.
+// Retry interval after a response without workers, or no response.
 constexpr base::Micros kAskAgain = milliseconds(500);
-// Tickets are used until this long before they end: the placement's commit and
-// the order take some ms.
+// Tickets are not used within this time before they expire, since saving the
+// placement and sending the start take some ms.
 constexpr base::Micros kTicketMargin = milliseconds(150);
 
 }  // namespace
@@ -33,7 +35,8 @@
     return true;
   if (advice.in_flight || now < advice.requested_at + kAskAgain)
     return false;
-  // The emptiest: they are the likeliest to have room when the answer comes.
+  // Least loaded first: they are most likely to have capacity when the response
+  // arrives.
   std::vector<const Worker*> asked(candidates.begin(), candidates.end());
   std::stable_sort(asked.begin(), asked.end(),
                    [](const Worker* a, const Worker* b) {
@@ -69,7 +72,7 @@
     return;
   }
   advice.tickets = answer->tickets;
-  // From when it was asked: the service may have decided at once.
+  // Counted from the request, as the service may have decided immediately.
   advice.valid_until = advice.requested_at + answer->valid_for;
 }
 
