--- a/scheduler/pool_state.cc
+++ b/scheduler/pool_state.cc
@@ -1,4 +1,4 @@
-// What an operator wants to see of the pools, once a second.
+// Pool state for operators, computed once a second.
 
 #include <algorithm>
 
@@ -8,10 +8,10 @@
 
 namespace {
 
-// A pool that can get no box counts as so full.
+// Upper limit of the load in percent; also that of a pool without any cores.
 constexpr int kMostPercent = 1000;
 
-// Cores of a box, and whether it could serve another pool than its own.
+// CPU cores of a box, and whether the box may move to another pool.
 struct BoxCores {
   const std::string* pool = nullptr;
   double all = 0.0;
@@ -25,7 +25,8 @@
   return static_cast<int>(100 * wanted / available);
 }
 
-// What the pool could get, its own work included.
+// Cores available to the pool: those of its own boxes, and the unused ones of
+// boxes in other pools that may move.
 double CoresFor(const std::string& pool, const std::vector<BoxCores>& boxes) {
   double cores = 0.0;
   for (const BoxCores& box : boxes) {
@@ -91,7 +92,7 @@
   return list;
 }
 
-// A worker's first label is its kind.
+// A worker's first label is the kind of its box.
 std::vector<std::string> Scheduler::BoxKinds() const {
   std::set<std::string> kinds;
   for (const auto& [id, worker] : this->workers) {
