--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -1,4 +1,4 @@
-// Single decisions of the scheduler, step by step.
+// Tests of individual scheduling decisions.
 
 #include <map>
 #include <string>
@@ -19,8 +19,9 @@
 using testing::Only;
 using Bench = testing::SchedulerBench;
 
-// A busy worker's looks are answered each 0.2 s. When it falls silent, what it
-// runs waits for the end of its lease; the lease must also bridge a takeover.
+// A busy worker answers a poll every 0.2 s. If it stops answering, its tasks
+// are restarted only once its lease has expired, so the lease must not be long;
+// it must still outlast a takeover by another owner.
 BOOST_AUTO_TEST_CASE(LeaseOfABusyWorkerIsNeitherLongNorShort) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
@@ -64,8 +65,9 @@
   BOOST_CHECK(sum / looks < milliseconds(3400));
 }
 
-// What may still run there is no lease that the worker is known to have: a run
-// that is found, or a renewal without an answer.
+// The upper bound of a lease must not pass for a lease that the worker is known
+// to hold: an adopted run, or a renewal without an answer, raises only the
+// bound.
 BOOST_AUTO_TEST_CASE(LeaseIsRenewedWhereItIsNotKnownToLast) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
@@ -88,9 +90,9 @@
   BOOST_TEST(asked.back().renews_lease);
 }
 
-// A worker of an earlier owner has answered this one, and so refuses the
-// earlier one's renewals: when it dies its lasting task waits for no longer
-// than one lease, not for the bound up to which an owner that is cut off may
+// A worker that has answered the new owner rejects lease renewals by the
+// earlier one. If it then fails, its long-running task must wait for one lease
+// at most, not for the bound up to which a partitioned earlier owner could
 // renew.
 BOOST_AUTO_TEST_CASE(TaskOfAWorkerThatWasHeardWaitsForOneLease) {
   Bench bench(2);
@@ -130,7 +132,7 @@
   BOOST_CHECK(bench.now < heard + milliseconds(5500));
 }
 
-// The log of a job that is over tells people where its time went.
+// A finished job is logged with a breakdown of its time.
 BOOST_AUTO_TEST_CASE(JobThatIsOverTellsWhereItsTimeWent) {
   Bench bench(2);
   jobs::Queue queue;
@@ -141,7 +143,7 @@
   spec.steps.push_back(Bench::OneTask());
   bench.scheduler.AddJob(MakeJob("job", queue, spec, {}, bench.now, {}),
                          bench.now);
-  bench.now += seconds(2);  // no worker yet
+  bench.now += seconds(2);  // no worker is registered yet
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
   std::int64_t number = 0;
@@ -183,7 +185,7 @@
   BOOST_REQUIRE(first.run == 1);
   bench.scheduler.LeaseGranted(first.worker, bench.now + seconds(1));
   bench.scheduler.StartAnswered(first, CommandOutcome::kDone, bench.now);
-  // Its worker falls silent, and its lease runs out.
+  // The worker stops answering and its lease expires.
   bench.scheduler.PollFailed(first.worker, CommandOutcome::kUnknown, bench.now);
   bench.now += seconds(8);
   const StartRun second = bench.NextStart();
@@ -191,7 +193,7 @@
   BOOST_CHECK(second.worker != first.worker);
   bench.scheduler.LeaseGranted(second.worker, bench.now + seconds(4));
   bench.scheduler.StartAnswered(second, CommandOutcome::kDone, bench.now);
-  // The cut heals: the first run had been done before its lease ran out.
+  // The partition heals: the first run had completed before its lease expired.
   bench.List(first.worker.id, {.clock_ms = 0,
                                .running = {},
                                .ended = {{.sequence = 1,
@@ -250,7 +252,7 @@
   const std::vector<Action> asked = bench.Turn();
   BOOST_REQUIRE(Only<RequestAdvice>(asked).size() == 1);
   BOOST_TEST(Only<SaveProgress>(asked).empty());
-  // One question at a time.
+  // Only one request is in flight at a time.
   BOOST_TEST(Only<RequestAdvice>(bench.Turn()).empty());
   bench.scheduler.AdviceAnswered(
       Only<RequestAdvice>(asked)[0],
@@ -259,13 +261,14 @@
   const StartRun start = bench.NextStart();
   BOOST_TEST(start.worker.id == "b");
   BOOST_TEST(start.ticket == "t");
-  // Refused there: the ticket is not used again.
+  // The worker rejects the ticket, which is not used again.
   bench.scheduler.StartAnswered(start, CommandOutcome::kNoTicket, bench.now);
   BOOST_TEST(Only<StartRun>(bench.Turn()).empty());
 }
 
-// The start of a lasting task was carried out and its answer lost: stopped at
-// once, it would end at work, perhaps with others of its step away.
+// The start of a long-running task was executed and its answer lost. Stopped at
+// once, the task would be interrupted in service, possibly while other tasks of
+// its step are unavailable.
 BOOST_AUTO_TEST_CASE(UnansweredStartOfALastingTaskIsStoppedOnlyAfterAListing) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
@@ -280,7 +283,7 @@
   BOOST_TEST(Only<StopRun>(bench.Turn()).size() == 1U);
 }
 
-// It answers looks and leaves every start unanswered: not for ever.
+// A worker that answers polls but no start must not be given task after task.
 BOOST_AUTO_TEST_CASE(WorkerThatLeavesStartsUnansweredGetsNoMoreForAWhile) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("bad"), bench.now);
@@ -298,7 +301,7 @@
   BOOST_TEST(ordered == 3);
 }
 
-// A job that was given a worker, and whose start got no answer, still waits.
+// A job with a placed task whose start was not answered counts as waiting.
 BOOST_AUTO_TEST_CASE(JobWaitsUntilAWorkerHasStartedARunOfIt) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
@@ -318,8 +321,9 @@
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 0);
 }
 
-// The earlier owner knew two failures that this one did not read: its row
-// stands in the way of the next placement, which must not be made.
+// The earlier owner recorded failures that this owner has not read. Saving the
+// next placement conflicts with that row, and the placement must not be made
+// because the attempts are used up.
 BOOST_AUTO_TEST_CASE(FailuresThatAnEarlierOwnerKnewCount) {
   Bench bench(3);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
@@ -345,9 +349,10 @@
               jobs::JobState::kFailed);
 }
 
-// The row of a life that is over stays in the store for some seconds, and is
-// read again when the store has forgotten its history: a box that is down for
-// its upkeep would pass for being back, and too many would be away.
+// The registration of an ended incarnation stays in the store for some seconds,
+// and is read again if the store has dropped its change history. A box in
+// maintenance would then count as back, and too many boxes would be
+// unavailable.
 BOOST_AUTO_TEST_CASE(RowOfALifeThatIsOverDoesNotBringTheBoxBack) {
   Bench bench(1);
   const auto on_box = [](const std::string& id, const std::string& box) {
@@ -380,13 +385,13 @@
   bench.scheduler.UpdateWorker(on_box("new", "box-1"), bench.now);
   BOOST_TEST(Only<MaintainBox>(bench.Turn()).empty());
   BOOST_TEST(!bench.scheduler.FindWorker("old"));
-  // Its next life brings it back.
+  // A new incarnation on the box ends its maintenance.
   bench.scheduler.UpdateWorker(on_box("next", "box-1"), bench.now);
   BOOST_TEST(Only<MaintainBox>(bench.Turn()).size() == 1U);
 }
 
-// The boxes of the pool have cores to spare and no memory: without another box
-// the lasting task would wait for ever.
+// The pool's boxes have free cores but no free memory. Without another box the
+// long-running task would wait forever.
 BOOST_AUTO_TEST_CASE(PoolWhoseBoxesAreFullOfMemoryGetsAnother) {
   Bench bench(1);
   jobs::Config config;
@@ -415,12 +420,12 @@
   BOOST_TEST(moves[0].pool == "pool");
 }
 
-// A pool is full for seconds of tasks that take little memory each. A lasting
-// task of much memory had failed there (38.0 s) and was not started again
-// within 10 s, though it goes first: each room that comes free is too small for
-// it and goes to the next small task at once, so that no box ever has enough.
-// 340 to 530 tasks waited in its pool meanwhile, which used 117 to 145% of its
-// cores.
+// Starvation of a large task by small ones: every box is full of tasks with
+// little memory, and each slot that becomes free is too small for a
+// long-running task with much memory and goes to the next small task, so no box
+// ever has enough, although the large task has precedence. Seen after such a
+// task had failed (at 38.0 s): it was not restarted within 10 s, while 340 to
+// 530 tasks waited in its pool at 117 to 145% of its cores.
 BOOST_AUTO_TEST_CASE(LastingTaskOfMuchMemoryGetsRoomInAFullPool) {
   Bench bench(1);
   std::map<std::string, std::vector<StartRun>> running;
@@ -435,7 +440,8 @@
   bench.AddJob("small", small);
   bool is_started = false;
   std::int64_t number = 0;
-  // Each box ends a task a turn of 0.3 s; the lasting one comes after 3 s.
+  // Each box completes one task per turn of 0.3 s; the long-running task
+  // arrives after 3 s.
   for (int turn = 0; turn < 30 && !is_started; ++turn) {
     if (turn == 10) {
       jobs::Step large = Bench::OneLastingTask();
