--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -96,7 +96,7 @@
   if (!job || job->finished() || job->cancelled)
     return;
   job->cancelled = true;
-  this->actions.emplace_back(LogNote{id, "cancelled by its caller"});
+  this->actions.emplace_back(LogNote{id, "cancelled by the caller"});
   this->FinishJob(*job, jobs::JobState::kCancelled, now);
 }
 
@@ -290,7 +290,7 @@
     case SaveOutcome::kRejected:
       job->rejected_change = result.change;
       this->actions.emplace_back(
-          LogNote{job->id, "the store does not take its progress"});
+          LogNote{job->id, "the store rejected the progress update"});
       break;
   }
   // A rejected change is not retried until the progress changes again.
