--- a/scheduler/advice.cc
+++ b/scheduler/advice.cc
@@ -16,9 +16,9 @@
 // processing time; the platform documentation gives 30 per step as usual and
 // 100 as the limit.
 constexpr std::size_t kSpareWorkers = 4;
-constexpr std::size_t kMostWorkers = 30;
+constexpr std::size_t kMaxWorkers = 30;
 // Retry interval after a response without workers, or no response.
-constexpr base::Micros kAskAgain = milliseconds(500);
+constexpr base::Micros kRetryInterval = milliseconds(500);
 // Tickets are not used within this time before they expire, since saving the
 // placement and sending the start take some ms.
 constexpr base::Micros kTicketMargin = milliseconds(150);
@@ -29,11 +29,11 @@
                              const TaskPosition& place,
                              const std::vector<Worker*>& candidates,
                              base::Micros now) {
-  StepState& runs = StepAt(job, place);
-  StepAdvice& advice = runs.advice;
+  StepState& step_state = StepAt(job, place);
+  StepAdvice& advice = step_state.advice;
   if (!advice.tickets.empty() && now + kTicketMargin < advice.valid_until)
     return true;
-  if (advice.in_flight || now < advice.requested_at + kAskAgain)
+  if (advice.in_flight || now < advice.requested_at + kRetryInterval)
     return false;
   // Least loaded first: they are most likely to have capacity when the response
   // arrives.
@@ -42,18 +42,18 @@
                    [](const Worker* a, const Worker* b) {
                      return a->used.cpu_millis < b->used.cpu_millis;
                    });
-  const std::size_t most =
-      std::min(kMostWorkers, 2 * runs.tasks.size() + kSpareWorkers);
-  asked.resize(std::min(asked.size(), most));
-  RequestAdvice ask{.job = job.id,
-                    .occurrence = place.occurrence,
-                    .step = place.step,
-                    .workers = {}};
+  const std::size_t max_count =
+      std::min(kMaxWorkers, 2 * step_state.tasks.size() + kSpareWorkers);
+  asked.resize(std::min(asked.size(), max_count));
+  RequestAdvice request{.job = job.id,
+                        .occurrence = place.occurrence,
+                        .step = place.step,
+                        .workers = {}};
   for (const Worker* worker : asked)
-    ask.workers.push_back(worker->info.life);
+    request.workers.push_back(worker->info.life);
   advice.in_flight = true;
   advice.requested_at = now;
-  this->actions.emplace_back(std::move(ask));
+  this->actions.emplace_back(std::move(request));
   return false;
 }
 
--- a/scheduler/job.cc
+++ b/scheduler/job.cc
@@ -10,26 +10,26 @@
 StepState MakeStep(const jobs::Step& step,
                    const jobs::Progress& progress,
                    const jobs::StepKey& key) {
-  StepState runs;
-  runs.tasks.resize(static_cast<std::size_t>(step.tasks));
-  for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
+  StepState step_state;
+  step_state.tasks.resize(static_cast<std::size_t>(step.tasks));
+  for (std::size_t i = 0; i < step_state.tasks.size(); ++i) {
     const int index = static_cast<int>(i);
     if (progress.IsDone(key, index)) {
-      runs.tasks[i].state = TaskState::kDone;
-      ++runs.tasks_done;
+      step_state.tasks[i].state = TaskState::kDone;
+      ++step_state.tasks_done;
     }
     const auto failed = progress.failures.find({.step = key, .index = index});
     if (failed != progress.failures.end())
-      runs.tasks[i].latest_run = *failed->second.rbegin();
+      step_state.tasks[i].latest_run = *failed->second.rbegin();
   }
-  return runs;
+  return step_state;
 }
 
 bool IsStepDone(const StepState& step) {
   return step.tasks_done == static_cast<int>(step.tasks.size());
 }
 
-bool MayStart(const jobs::Step& step, const Occurrence& occurrence) {
+bool ArePredecessorsDone(const jobs::Step& step, const Occurrence& occurrence) {
   for (const int before : step.after) {
     if (!IsStepDone(occurrence.steps[static_cast<std::size_t>(before)]))
       return false;
@@ -135,13 +135,13 @@
     if (job.spec.repeats > 0 && occurrence.due > now)
       break;
     for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
-      StepState& runs = occurrence.steps[s];
+      StepState& step_state = occurrence.steps[s];
       const jobs::Step& step = job.spec.steps[s];
-      if (runs.released || !MayStart(step, occurrence))
+      if (step_state.released || !ArePredecessorsDone(step, occurrence))
         continue;
-      runs.released = true;
-      for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
-        Task& task = runs.tasks[i];
+      step_state.released = true;
+      for (std::size_t i = 0; i < step_state.tasks.size(); ++i) {
+        Task& task = step_state.tasks[i];
         if (task.state != TaskState::kBlocked)
           continue;
         task.state = TaskState::kReady;
--- a/scheduler/pacing.cc
+++ b/scheduler/pacing.cc
@@ -13,42 +13,42 @@
 // Above kHalveAbove the speed of the filling tasks beside it is halved, above
 // kPauseAbove they are paused, below kRaiseBelow their speed is raised.
 constexpr double kHalveAbove = 0.75;
-constexpr double kRestAbove = 0.95;
+constexpr double kPauseAbove = 0.95;
 constexpr double kRaiseBelow = 0.55;
-constexpr int kRaise = 20;  // percentage points per worker report
-constexpr int kLeast = 10;  // percent; paused below it
+constexpr int kRaiseStep = 20;  // percentage points per worker report
+constexpr int kMinPace = 10;    // percent; paused below it
 
 // Highest ratio of tail latency to target on the worker; negative if no serving
 // task has reported one.
-double WorstTail(const Worker& worker) {
-  double worst = -1.0;
+double MaxTailRatio(const Worker& worker) {
+  double max_ratio = -1.0;
   for (const auto& [task, run] : worker.runs) {
     if (run.target_ms > 0 && run.load >= 0)
-      worst = std::max(worst, static_cast<double>(run.load) /
-                                  static_cast<double>(run.target_ms));
+      max_ratio = std::max(max_ratio, static_cast<double>(run.load) /
+                                          static_cast<double>(run.target_ms));
   }
-  return worst;
+  return max_ratio;
 }
 
-int NextPace(int pace, double tail) {
-  if (tail > kRestAbove)
+int NextPace(int pace, double tail_ratio) {
+  if (tail_ratio > kPauseAbove)
     return 0;
-  if (tail > kHalveAbove)
-    return pace / 2 < kLeast ? 0 : pace / 2;
-  if (tail < kRaiseBelow)
-    return std::min(100, pace + kRaise);
+  if (tail_ratio > kHalveAbove)
+    return pace / 2 < kMinPace ? 0 : pace / 2;
+  if (tail_ratio < kRaiseBelow)
+    return std::min(100, pace + kRaiseStep);
   return pace;
 }
 
 }  // namespace
 
 void Scheduler::ThrottleFillers(Worker& worker) {
-  const double tail = WorstTail(worker);
+  const double tail_ratio = MaxTailRatio(worker);
   for (auto& [task, run] : worker.runs) {
     if (!run.fills || run.state != RunState::kRunning)
       continue;
     // Without a serving task on the worker it runs at full speed.
-    const int pace = tail < 0.0 ? 100 : NextPace(run.pace, tail);
+    const int pace = tail_ratio < 0.0 ? 100 : NextPace(run.pace, tail_ratio);
     if (pace == run.pace)
       continue;
     run.pace = pace;
--- a/scheduler/pool_state.cc
+++ b/scheduler/pool_state.cc
@@ -9,29 +9,30 @@
 namespace {
 
 // Upper limit of the load in percent; also that of a pool without any cores.
-constexpr int kMostPercent = 1000;
+constexpr int kMaxLoadPercent = 1000;
 
 // CPU cores of a box, and whether the box may move to another pool.
 struct BoxCores {
   const std::string* pool = nullptr;
-  double all = 0.0;
+  double total = 0.0;
   double unused = 0.0;
   bool may_move = false;
 };
 
 int PercentOf(double wanted, double available) {
-  if (available <= 0.0 || 100 * wanted >= kMostPercent * available)
-    return kMostPercent;
+  if (available <= 0.0 || 100 * wanted >= kMaxLoadPercent * available)
+    return kMaxLoadPercent;
   return static_cast<int>(100 * wanted / available);
 }
 
 // Cores available to the pool: those of its own boxes, and the unused ones of
 // boxes in other pools that may move.
-double CoresFor(const std::string& pool, const std::vector<BoxCores>& boxes) {
+double AvailableCores(const std::string& pool,
+                      const std::vector<BoxCores>& boxes) {
   double cores = 0.0;
   for (const BoxCores& box : boxes) {
     if (*box.pool == pool)
-      cores += box.all;
+      cores += box.total;
     else if (box.may_move)
       cores += box.unused;
   }
@@ -58,7 +59,7 @@
       continue;
     boxes.push_back(
         {.pool = &worker.info.service,
-         .all = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0,
+         .total = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0,
          .unused = static_cast<double>(worker.room().cpu_millis) / 1000.0,
          .may_move = worker.lasting == 0});
   }
@@ -74,9 +75,9 @@
       ++state.waiting;
       state.waiting_cores += static_cast<double>(step.each.cpu_millis) / 1000.0;
       state.oldest = std::max(state.oldest, waited);
-      PoolState::Waiting& alike = state.waiting_for[waiting.wait_reason];
-      ++alike.tasks;
-      alike.oldest = std::max(alike.oldest, waited);
+      PoolState::Waiting& same_reason = state.waiting_for[waiting.wait_reason];
+      ++same_reason.tasks;
+      same_reason.oldest = std::max(same_reason.oldest, waited);
     }
   }
   for (const auto& [id, job] : this->jobs) {
@@ -86,7 +87,7 @@
   std::vector<PoolState> list;
   for (auto& [name, state] : states) {
     state.load_percent = PercentOf(state.busy_cores + state.waiting_cores,
-                                   CoresFor(name, boxes));
+                                   AvailableCores(name, boxes));
     list.push_back(std::move(state));
   }
   return list;
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -128,17 +128,18 @@
 // is the number of steps, the longest chain of the whole job.
 base::Micros Scheduler::LongestChain(const Job& job, std::size_t from) const {
   const std::size_t count = job.spec.steps.size();
-  std::vector<base::Micros> after(count);  // chain after each step
+  std::vector<base::Micros> chain_after(count);  // chain after each step
   base::Micros longest{};
   for (std::size_t s = count; s-- > 0;) {
     const jobs::Step& step = job.spec.steps[s];
-    const base::Micros chain = after[s] + this->ExpectedRun(job, step);
+    const base::Micros chain = chain_after[s] + this->ExpectedRun(job, step);
     if (s == from)
       return chain;
     longest = std::max(longest, chain);
     for (const int earlier : step.after) {
-      base::Micros& behind = after[static_cast<std::size_t>(earlier)];
-      behind = std::max(behind, chain);
+      base::Micros& successor_chain =
+          chain_after[static_cast<std::size_t>(earlier)];
+      successor_chain = std::max(successor_chain, chain);
     }
   }
   return longest;
@@ -157,7 +158,7 @@
 // from mean run times, while a step ends with its slowest task; a factor of
 // four on the estimate therefore excludes no job that is still useful.
 void Scheduler::Enqueue(Job& job, const TaskPosition& place, base::Micros now) {
-  constexpr int kOfUseTimes = 4;
+  constexpr int kUsefulnessFactor = 4;
   if (!job.progress.losses.empty())
     this->GiveUpCrashingTasks(job, now);
   Task& task = TaskAt(job, place);
@@ -180,7 +181,7 @@
                    : job.exceeds_share ? Prospect::kBeyond
                                        : Prospect::kWaiting,
        .in_time = lasting ? now : since + objective - left,
-       .of_use = since + kOfUseTimes * objective - left,
+       .of_use = since + kUsefulnessFactor * objective - left,
        .number = ++this->last_ready_number,
        .job = &job,
        .place = place});
@@ -213,11 +214,11 @@
 void Scheduler::StopAllRuns(Job& job, base::Micros now) {
   for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
     for (std::size_t s = 0; s < job.occurrences[k].steps.size(); ++s) {
-      StepState& runs = job.occurrences[k].steps[s];
-      for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
-        if (runs.tasks[i].state != TaskState::kPlaced)
+      StepState& step_state = job.occurrences[k].steps[s];
+      for (std::size_t i = 0; i < step_state.tasks.size(); ++i) {
+        if (step_state.tasks[i].state != TaskState::kPlaced)
           continue;
-        const auto worker = this->workers.find(runs.tasks[i].worker);
+        const auto worker = this->workers.find(step_state.tasks[i].worker);
         if (worker == this->workers.end())
           continue;
         const jobs::TaskId id{.job = job.id,
@@ -301,7 +302,7 @@
 void Scheduler::MergeStoredProgress(Job& job,
                                     const jobs::Progress& stored,
                                     base::Micros now) {
-  std::vector<TaskPosition> voided;
+  std::vector<TaskPosition> cancelled_plans;
   for (const auto& [key, placement] : stored.placed) {
     const TaskPosition place{.occurrence = key.step.occurrence,
                              .step = key.step.step,
@@ -314,11 +315,11 @@
       this->is_fenced = true;
       return;
     }
-    const bool is_news = epoch < this->limits.epoch &&
-                         placement.run > TaskAt(job, place).inherited_run;
-    if (is_news && this->ApplyLatePlacement(job, place, placement))
-      voided.push_back(place);
-    if (is_news && !this->FindHolder(placement.worker))
+    const bool is_new = epoch < this->limits.epoch &&
+                        placement.run > TaskAt(job, place).inherited_run;
+    if (is_new && this->ApplyLatePlacement(job, place, placement))
+      cancelled_plans.push_back(place);
+    if (is_new && !this->FindHolder(placement.worker))
       this->RecordUnobservedLoss(job, place, placement, now);
   }
   const bool was_final = job.finished();
@@ -340,9 +341,9 @@
     this->FinishJob(job, jobs::JobState::kFailed, now);
   this->InheritLosses(job, now);
   for (const TaskPosition& place : this->CancelSuspectPlans(job, stored, now))
-    voided.push_back(place);
+    cancelled_plans.push_back(place);
   this->InheritRuns(job, now);
-  for (const TaskPosition& place : voided) {
+  for (const TaskPosition& place : cancelled_plans) {
     if (TaskAt(job, place).state == TaskState::kReady && !job.finished())
       this->Enqueue(job, place, now);
   }
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -40,8 +40,8 @@
 
 struct SchedulerLimits {
   base::Micros lease_duration{};  // granted to a worker at a time
-  base::Micros
-      max_lease_after_confirmation{};  // bound after the last confirmation
+  // Bound on every lease, counted from the last ownership confirmation.
+  base::Micros max_lease_after_confirmation{};
   // Longest lease that one command grants, on any clock.
   base::Micros max_grant{};
   // Workers shorten any longer grant to this, on any clock.
@@ -103,17 +103,17 @@
   // --- Results of actions ---
   // `asked` is the incarnation that was polled; another one may have answered.
   void WorkerReported(const jobs::WorkerLife& asked,
-                      const WorkerReport& listing,
+                      const WorkerReport& report,
                       base::Micros now);
   void PollFailed(const jobs::WorkerLife& worker,
                   CommandOutcome outcome,
                   base::Micros now);
   // `clock_ms` is the worker's clock as read from its response; 0 if unknown.
-  void StartAnswered(const StartRun& order,
+  void StartAnswered(const StartRun& command,
                      CommandOutcome outcome,
                      base::Micros now,
                      std::int64_t clock_ms = 0);
-  void StopAnswered(const StopRun& order,
+  void StopAnswered(const StopRun& command,
                     CommandOutcome outcome,
                     base::Micros now);
   // Response to RequestAdvice; empty if there was none.
@@ -122,7 +122,7 @@
                       base::Micros now);
   // A command that grants a lease until `end` is about to be sent.
   void LeaseGranted(const jobs::WorkerLife& worker, base::Micros end);
-  void PollSent(const PollWorker& order, base::Micros now);
+  void PollSent(const PollWorker& command, base::Micros now);
   // The poll that is being sent grants a lease until `end`.
   void PollGrantsLease(const jobs::WorkerLife& worker, base::Micros end);
 
@@ -136,10 +136,10 @@
   void SetBoxes(const std::vector<BoxInfo>& boxes,
                 base::Micros asked,
                 base::Micros now);
-  void MoveAnswered(const MoveBox& order,
+  void MoveAnswered(const MoveBox& command,
                     BoxCallOutcome outcome,
                     base::Micros now);
-  void MaintenanceAnswered(const MaintainBox& order,
+  void MaintenanceAnswered(const MaintainBox& command,
                            BoxCallOutcome outcome,
                            base::Micros now);
 
@@ -147,10 +147,9 @@
   void Advance(base::Micros now);
   std::vector<Action> TakeActions();
 
-  // --- Queries
-  // ----------------------------------------------------------------- Is the
-  // order still to be sent? Its run may have been given up meanwhile.
-  bool IsStillNeeded(const StartRun& order) const;
+  // --- Queries ---
+  // Whether the start is still to be sent; its run may have been given up.
+  bool IsStillNeeded(const StartRun& command) const;
   // End of a lease granted at `now`, on the local clock.
   base::Micros LeaseEnd(base::Micros now) const;
   // Deadline on the worker's clock for a lease until `end` on the local clock.
@@ -247,7 +246,7 @@
   std::map<jobs::TaskId, jobs::WorkerLoss> CollectLosses(
       const Worker& worker,
       const std::map<jobs::TaskId, Run>& runs,
-      LossReason sign);
+      LossReason reason);
   void RecordLoss(Job& job,
                   const TaskPosition& place,
                   const jobs::WorkerLife& life,
@@ -280,7 +279,7 @@
   };
   UnknownJob& UnknownJobFor(const std::string& job);
   void BufferRunEnd(Worker& worker, const ReportedEnd& end);
-  void BufferRun(Worker& worker, const ReportedRun& listed, base::Micros now);
+  void BufferRun(Worker& worker, const ReportedRun& reported, base::Micros now);
   void ApplyBufferedReports(Job& job, base::Micros now);
   void ReleaseBufferedEnd(const jobs::WorkerLife& worker,
                           const ReportedEnd& end,
@@ -291,18 +290,18 @@
                               CommandOutcome outcome,
                               base::Micros now);
   void ProcessReportedRun(Worker& worker,
-                          const ReportedRun& listed,
+                          const ReportedRun& reported,
                           base::Micros now);
   void LogIgnoredEnd(const Worker& worker, const ReportedEnd& end);
   void CheckClock(Worker& worker,
-                  const StartRun& order,
+                  const StartRun& command,
                   Run& run,
                   std::int64_t clock_ms,
                   base::Micros now);
   void QuarantineIfStartsUnanswered(Worker& worker, base::Micros now);
-  void AdoptRun(Worker& worker, const ReportedRun& listed, base::Micros now);
+  void AdoptRun(Worker& worker, const ReportedRun& reported, base::Micros now);
   void ResolveMissingRuns(Worker& worker,
-                          const WorkerReport& listing,
+                          const WorkerReport& report,
                           base::Micros now);
   void AdvanceAcknowledged(Worker& worker);
 
@@ -324,19 +323,19 @@
                    const std::optional<PossibleLoss>& loss);
   // Removes a worker incarnation of which no run is active any more.
   void RemoveWorker(const jobs::WorkerLife& life,
-                    LossReason sign,
+                    LossReason reason,
                     base::Micros now);
   // As RemoveWorker, and ignores the incarnation if its registration is still
   // stored and is read again.
   void EndIncarnation(const jobs::WorkerLife& life,
-                      LossReason sign,
+                      LossReason reason,
                       base::Micros now);
   void HandleLostRuns(const Worker& worker,
                       const std::map<jobs::TaskId, Run>& runs,
                       const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-                      LossReason sign,
+                      LossReason reason,
                       base::Micros now);
-  void DropAllRuns(Worker& worker, LossReason sign, base::Micros now);
+  void DropAllRuns(Worker& worker, LossReason reason, base::Micros now);
 
   // leases and polls
   void ExpireLeases(base::Micros now);
@@ -350,7 +349,7 @@
                  ReadyTasks& tasks,
                  base::Micros now);
   ReadyTasks::Tried TryPlace(const ReadyTask& task,
-                             PlacementPass& turn,
+                             PlacementPass& pass,
                              base::Micros now);
   std::optional<WaitReason> PlaceTask(const ReadyTask& task,
                                       Suspicion suspicion,
@@ -361,7 +360,10 @@
                                         const TaskPosition& place,
                                         const std::vector<Worker*>& candidates,
                                         base::Micros now) const;
-  void PlanRun(Job& job, const Assignment& choice, int run, base::Micros now);
+  void PlanRun(Job& job,
+               const Assignment& assignment,
+               int run,
+               base::Micros now);
   Run MakeRun(const Job& job,
               const jobs::Step& step,
               int number,
