--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -22,7 +22,7 @@
 // A busy worker answers a poll every 0.2 s. If it stops answering, its tasks
 // are restarted only once its lease has expired, so the lease must not be long;
 // it must still outlast a takeover by another owner.
-BOOST_AUTO_TEST_CASE(LeaseOfABusyWorkerIsNeitherLongNorShort) {
+BOOST_AUTO_TEST_CASE(BusyWorkerLeaseStaysWithinItsBounds) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
@@ -38,7 +38,7 @@
                                           .percent = 10}},
                              .ended = {}};
   bench.List("w", running);
-  const auto left = [&] {
+  const auto remaining_lease = [&] {
     return bench.scheduler.FindWorker("w")->lease_end - bench.now;
   };
   base::Micros sum{};
@@ -50,25 +50,25 @@
     const auto asked = Only<PollWorker>(bench.scheduler.TakeActions());
     if (asked.empty())
       continue;
-    BOOST_REQUIRE(left() > milliseconds(2200));
+    BOOST_REQUIRE(remaining_lease() > milliseconds(2200));
     const base::Micros grant = bench.now + seconds(4);
     bench.now +=
         std::min<base::Micros>(asked.front().max_wait, milliseconds(200));
     bench.List("w", running,
                asked.front().renews_lease ? grant : base::Micros{});
-    sum += left();
+    sum += remaining_lease();
     ++looks;
   }
   BOOST_REQUIRE(looks > 20);
-  BOOST_TEST_MESSAGE("left in the mean " << (sum / looks).count() / 1000
-                                         << " ms");
+  BOOST_TEST_MESSAGE("mean remaining lease: " << (sum / looks).count() / 1000
+                                              << " ms");
   BOOST_CHECK(sum / looks < milliseconds(3400));
 }
 
 // The upper bound of a lease must not pass for a lease that the worker is known
 // to hold: an adopted run, or a renewal without an answer, raises only the
 // bound.
-BOOST_AUTO_TEST_CASE(LeaseIsRenewedWhereItIsNotKnownToLast) {
+BOOST_AUTO_TEST_CASE(PollRenewsALeaseThatIsNotKnownToLast) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {}, bench.now + milliseconds(2000));
@@ -94,7 +94,7 @@
 // earlier one. If it then fails, its long-running task must wait for one lease
 // at most, not for the bound up to which a partitioned earlier owner could
 // renew.
-BOOST_AUTO_TEST_CASE(TaskOfAWorkerThatWasHeardWaitsForOneLease) {
+BOOST_AUTO_TEST_CASE(TaskOfAFailedWorkerThatHadAnsweredWaitsForOneLease) {
   Bench bench(2);
   jobs::Queue queue;
   queue.name = "queue";
@@ -133,7 +133,7 @@
 }
 
 // A finished job is logged with a breakdown of its time.
-BOOST_AUTO_TEST_CASE(JobThatIsOverTellsWhereItsTimeWent) {
+BOOST_AUTO_TEST_CASE(FinishedJobReportsItsTimings) {
   Bench bench(2);
   jobs::Queue queue;
   queue.name = "queue";
@@ -174,7 +174,7 @@
   BOOST_CHECK(over[0].duration >= story.longest_wait + story.longest_run);
 }
 
-BOOST_AUTO_TEST_CASE(TaskDoneBeyondACutStopsItsLaterRun) {
+BOOST_AUTO_TEST_CASE(TaskCompletedBehindAPartitionStopsItsLaterRun) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
     bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
@@ -206,7 +206,7 @@
   BOOST_TEST(stops[0].worker.id == second.worker.id);
 }
 
-BOOST_AUTO_TEST_CASE(FillingTasksRestWhenTheTailOfServingOnesIsOver) {
+BOOST_AUTO_TEST_CASE(FillersArePausedWhenTailLatencyExceedsItsTarget) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   const auto add = [&](const std::string& id, bool fills) {
@@ -269,7 +269,7 @@
 // The start of a long-running task was executed and its answer lost. Stopped at
 // once, the task would be interrupted in service, possibly while other tasks of
 // its step are unavailable.
-BOOST_AUTO_TEST_CASE(UnansweredStartOfALastingTaskIsStoppedOnlyAfterAListing) {
+BOOST_AUTO_TEST_CASE(UnansweredLongRunningStartIsStoppedOnlyAfterAReport) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
@@ -284,7 +284,7 @@
 }
 
 // A worker that answers polls but no start must not be given task after task.
-BOOST_AUTO_TEST_CASE(WorkerThatLeavesStartsUnansweredGetsNoMoreForAWhile) {
+BOOST_AUTO_TEST_CASE(WorkerThatLeavesStartsUnansweredIsQuarantined) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("bad"), bench.now);
   bench.List("bad", {});
@@ -302,7 +302,7 @@
 }
 
 // A job with a placed task whose start was not answered counts as waiting.
-BOOST_AUTO_TEST_CASE(JobWaitsUntilAWorkerHasStartedARunOfIt) {
+BOOST_AUTO_TEST_CASE(JobCountsAsWaitingUntilARunHasStarted) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {});
@@ -324,7 +324,7 @@
 // The earlier owner recorded failures that this owner has not read. Saving the
 // next placement conflicts with that row, and the placement must not be made
 // because the attempts are used up.
-BOOST_AUTO_TEST_CASE(FailuresThatAnEarlierOwnerKnewCount) {
+BOOST_AUTO_TEST_CASE(FailuresRecordedByAnEarlierOwnerCount) {
   Bench bench(3);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.List("w", {.clock_ms = 0, .running = {}, .ended = {}},
@@ -353,7 +353,7 @@
 // and is read again if the store has dropped its change history. A box in
 // maintenance would then count as back, and too many boxes would be
 // unavailable.
-BOOST_AUTO_TEST_CASE(RowOfALifeThatIsOverDoesNotBringTheBoxBack) {
+BOOST_AUTO_TEST_CASE(StaleRegistrationDoesNotEndMaintenance) {
   Bench bench(1);
   const auto on_box = [](const std::string& id, const std::string& box) {
     WorkerInfo info = Bench::Worker(id);
@@ -392,7 +392,7 @@
 
 // The pool's boxes have free cores but no free memory. Without another box the
 // long-running task would wait forever.
-BOOST_AUTO_TEST_CASE(PoolWhoseBoxesAreFullOfMemoryGetsAnother) {
+BOOST_AUTO_TEST_CASE(PoolWithoutFreeMemoryGetsAnotherBox) {
   Bench bench(1);
   jobs::Config config;
   config.services = {{.name = "pool"}, {.name = "other"}};
