--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -83,7 +83,7 @@
   // `lease_end`. This owner grants it no lease until it has reported and has
   // been recorded again.
   void InheritWorker(const WorkerInfo& info, base::Micros lease_end);
-  // The stored worker list names this owner as the lease holder of `lives`.
+  // The stored worker list names `lives` as held by this owner.
   void WorkersRecorded(const std::vector<jobs::WorkerLife>& lives);
   // This shard's share of an organisation's quota, in thousandths.
   void SetQuotaShare(const std::string& organisation, int share) {
