--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -14,7 +14,7 @@
 
 // --- Lookup ---
 
-Worker* Scheduler::FindLife(const jobs::WorkerLife& life) {
+Worker* Scheduler::FindIncarnation(const jobs::WorkerLife& life) {
   const auto found = this->workers.find(life);
   return found == this->workers.end() ? nullptr : &found->second;
 }
@@ -30,37 +30,38 @@
   return is_match ? &found->second : nullptr;
 }
 
-Worker* Scheduler::CurrentLife(const std::string& id) {
+Worker* Scheduler::CurrentIncarnation(const std::string& id) {
   const auto found = this->workers.lower_bound({.id = id});
   const bool is_match = found != this->workers.end() && found->first.id == id;
   return is_match ? &found->second : nullptr;
 }
 
-Worker* Scheduler::HolderOf(const jobs::WorkerLife& life) {
-  Worker* current = this->CurrentLife(life.id);
+Worker* Scheduler::FindHolder(const jobs::WorkerLife& life) {
+  Worker* current = this->CurrentIncarnation(life.id);
   const bool is_holder = current && (current->info.life == life ||
                                      current->info.life.IsAfter(life));
   return is_holder ? current : nullptr;
 }
 
-bool Scheduler::IsKnownToBeOver(const jobs::WorkerLife& life) const {
-  const auto ended = this->ended_lives.find(life.id);
-  return ended != this->ended_lives.end() && life.born_ms <= ended->second;
+bool Scheduler::HasEnded(const jobs::WorkerLife& life) const {
+  const auto ended = this->ended_incarnations.find(life.id);
+  return ended != this->ended_incarnations.end() &&
+         life.born_ms <= ended->second;
 }
 
 // --- New lives ---
 
-void Scheduler::PutWorker(const WorkerInfo& announced, base::Micros now) {
+void Scheduler::UpdateWorker(const WorkerInfo& announced, base::Micros now) {
   WorkerInfo info = announced;
-  Worker* known = this->CurrentLife(info.life.id);
+  Worker* known = this->CurrentIncarnation(info.life.id);
   // An announcement without a start time belongs to the known life.
   if (known && info.life.born_ms == 0)
     info.life = known->info.life;
   const bool is_earlier = known && known->info.life.IsAfter(info.life);
-  if (is_earlier || this->IsKnownToBeOver(info.life))
+  if (is_earlier || this->HasEnded(info.life))
     return;
   if (known && info.life.IsAfter(known->info.life))
-    known = &this->Restarted(*known, info, now);
+    known = &this->ReplaceRestarted(*known, info, now);
   if (!known) {
     known = &this->workers[info.life];
     ++this->worker_change_count;
@@ -73,11 +74,11 @@
   known->is_described = true;
   if (info.draining && !had_drained)
     this->actions.emplace_back(
-        Note{info.life.id, "is draining; placing nothing on it"});
+        LogNote{info.life.id, "is draining; placing nothing on it"});
 }
 
 void Scheduler::InheritWorker(const WorkerInfo& info, base::Micros lease_end) {
-  Worker* worker = this->CurrentLife(info.life.id);
+  Worker* worker = this->CurrentIncarnation(info.life.id);
   if (!worker) {
     worker = &this->workers[info.life];
     worker->info = info;
@@ -89,10 +90,10 @@
 
 // The life that the answer is from; null if it is from an earlier life, or the
 // asked life is not known.
-Worker* Scheduler::LifeThatAnswered(const jobs::WorkerLife& asked,
-                                    const jobs::WorkerLife& answered,
-                                    base::Micros now) {
-  Worker* worker = this->FindLife(asked);
+Worker* Scheduler::FindResponder(const jobs::WorkerLife& asked,
+                                 const jobs::WorkerLife& answered,
+                                 base::Micros now) {
+  Worker* worker = this->FindIncarnation(asked);
   if (!worker || answered == asked || answered.born_ms == 0)
     return worker;
   if (asked.IsAfter(answered)) {
@@ -102,18 +103,19 @@
   }
   WorkerInfo info = worker->info;
   info.life = answered;
-  Worker& next = this->Restarted(*worker, info, now);
+  Worker& next = this->ReplaceRestarted(*worker, info, now);
   next.is_described = false;
   return &next;
 }
 
 // Replaces `earlier` by the life in `info`; `earlier` is invalid afterwards.
-Worker& Scheduler::Restarted(Worker& earlier,
-                             const WorkerInfo& info,
-                             base::Micros now) {
+Worker& Scheduler::ReplaceRestarted(Worker& earlier,
+                                    const WorkerInfo& info,
+                                    base::Micros now) {
   const jobs::WorkerLife ended_life = earlier.info.life;
   std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
-  const auto losses = this->LossesUnder(earlier, runs, LossSign::kRestarted);
+  const auto losses =
+      this->CollectLosses(earlier, runs, LossReason::kRestarted);
   // 1. Create the next life.
   Worker& next = this->workers[info.life];
   next.info = info;
@@ -123,7 +125,7 @@
   // 2. Move runs that it may have started.
   WorkerRestarted restarted{.worker = info.life,
                             .earlier_born_ms = ended_life.born_ms,
-                            .ends_read = earlier.last_processed_end};
+                            .last_end_sequence = earlier.last_processed_end};
   for (auto it = runs.begin(); it != runs.end();) {
     const bool may_be_started =
         !it->second.is_confirmed && it->second.state != RunState::kPlanned;
@@ -135,15 +137,15 @@
     std::optional<PossibleLoss> possible_loss;
     if (loss != losses.end())
       possible_loss = {.life = ended_life, .loss = loss->second};
-    this->MoveRun(next, it->first, std::move(it->second), possible_loss);
+    this->TransferRun(next, it->first, std::move(it->second), possible_loss);
     it = runs.erase(it);
-    ++restarted.moved_runs;
+    ++restarted.transferred_runs;
   }
   // An order sent to the earlier life may have reached this one. Its lease
   // deadline then lies far ahead on a clock that has just restarted.
   next.may_hold_earlier_lease = true;
   next.latest_lease_end =
-      std::max(earlier.latest_lease_end, now + this->limits.longest_lease);
+      std::max(earlier.latest_lease_end, now + this->limits.max_lease);
   this->actions.emplace_back(restarted);
   // The earlier life refuses late starts of runs that were stopped there; the
   // next one does not know of the stops, so they are sent again.
@@ -155,30 +157,30 @@
   next.recent_unanswered_starts = std::move(earlier.recent_unanswered_starts);
   // 3. All other runs are lost.
   if (!runs.empty())
-    this->LoseRuns(earlier, runs, losses, LossSign::kRestarted, now);
-  this->LifeIsOver(ended_life, LossSign::kRestarted, now);
+    this->HandleLostRuns(earlier, runs, losses, LossReason::kRestarted, now);
+  this->EndIncarnation(ended_life, LossReason::kRestarted, now);
   this->fleet.OnBoxAnnounced(info.box, info.life, info.service, now);
   return next;
 }
 
-void Scheduler::MoveRun(Worker& next,
-                        const jobs::TaskId& id,
-                        Run run,
-                        const std::optional<PossibleLoss>& loss) {
+void Scheduler::TransferRun(Worker& next,
+                            const jobs::TaskId& id,
+                            Run run,
+                            const std::optional<PossibleLoss>& loss) {
   run.possible_loss = loss;
   run.missing_since = {};
   run.stop_sent_at = {};
   run.stop_answered_at = {};
   Job* job = this->FindJob(id.job);
-  if (job && Exists(*job, PlaceOf(id))) {
-    Task& task = TaskAt(*job, PlaceOf(id));
-    const auto placed = job->progress.placed.find(KeyOf(PlaceOf(id)));
+  if (job && HasTask(*job, PositionOf(id))) {
+    Task& task = TaskAt(*job, PositionOf(id));
+    const auto placed = job->progress.placed.find(KeyOf(PositionOf(id)));
     if (task.state == TaskState::kPlaced && task.run == run.number)
       task.worker = next.info.life;
     if (placed != job->progress.placed.end() &&
         placed->second.run == run.number) {
       placed->second.worker = next.info.life;
-      this->Changed(*job);
+      this->MarkChanged(*job);
     }
   }
   AddRun(next, id, std::move(run));
@@ -186,24 +188,24 @@
 
 // --- Ended lives ---
 
-void Scheduler::WorkerUnlisted(const std::string& id, base::Micros now) {
-  this->ended_lives.erase(id);
-  Worker* worker = this->CurrentLife(id);
+void Scheduler::WorkerDeregistered(const std::string& id, base::Micros now) {
+  this->ended_incarnations.erase(id);
+  Worker* worker = this->CurrentIncarnation(id);
   if (!worker)
     return;
   worker->is_announced = false;
   worker->withdrawn_at = now;
   if (worker->idle() && !worker->poll_in_flight)
-    this->WorkerDied(worker->info.life, LossSign::kLeft, now);
+    this->RemoveWorker(worker->info.life, LossReason::kDeregistered, now);
 }
 
-void Scheduler::WorkerDied(const jobs::WorkerLife& life,
-                           LossSign sign,
-                           base::Micros now) {
+void Scheduler::RemoveWorker(const jobs::WorkerLife& life,
+                             LossReason sign,
+                             base::Micros now) {
   const auto found = this->workers.find(life);
   if (found == this->workers.end())
     return;
-  this->DropRuns(found->second, sign, now);
+  this->DropAllRuns(found->second, sign, now);
   this->workers.erase(found);
   ++this->worker_change_count;
 }
@@ -211,34 +213,35 @@
 // Remembers the life as over. When the store has discarded its change history,
 // all rows are read again, including announcements of ended lives. Without this
 // record, such a life on a box in upkeep would be taken for its successor.
-void Scheduler::LifeIsOver(const jobs::WorkerLife& life,
-                           LossSign sign,
-                           base::Micros now) {
+void Scheduler::EndIncarnation(const jobs::WorkerLife& life,
+                               LossReason sign,
+                               base::Micros now) {
   const jobs::WorkerLife ended_life = life;
-  std::int64_t& latest = this->ended_lives[ended_life.id];
+  std::int64_t& latest = this->ended_incarnations[ended_life.id];
   latest = std::max(latest, ended_life.born_ms);
-  this->WorkerDied(ended_life, sign, now);
+  this->RemoveWorker(ended_life, sign, now);
 }
 
-void Scheduler::DropRuns(Worker& worker, LossSign sign, base::Micros now) {
+void Scheduler::DropAllRuns(Worker& worker, LossReason sign, base::Micros now) {
   if (worker.idle())
     return;
   const std::map<jobs::TaskId, Run> runs = ExtractRuns(worker);
-  this->LoseRuns(worker, runs, this->LossesUnder(worker, runs, sign), sign,
-                 now);
+  this->HandleLostRuns(worker, runs, this->CollectLosses(worker, runs, sign),
+                       sign, now);
 }
 
-void Scheduler::LoseRuns(const Worker& worker,
-                         const std::map<jobs::TaskId, Run>& runs,
-                         const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-                         LossSign sign,
-                         base::Micros now) {
+void Scheduler::HandleLostRuns(
+    const Worker& worker,
+    const std::map<jobs::TaskId, Run>& runs,
+    const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
+    LossReason sign,
+    base::Micros now) {
   const bool was_heard = worker.last_answer_at > base::Micros::zero();
-  WorkerLost lost{
-      .worker = worker.info.life,
-      .box = worker.info.box,
-      .sign = sign,
-      .heard_ago = was_heard ? now - worker.last_answer_at : base::Micros(-1)};
+  WorkerLost lost{.worker = worker.info.life,
+                  .box = worker.info.box,
+                  .reason = sign,
+                  .last_answer_ago = was_heard ? now - worker.last_answer_at
+                                               : base::Micros(-1)};
   for (const auto& [task, run] : runs) {
     lost.runs.push_back(
         {.task = task,
@@ -252,11 +255,11 @@
   this->actions.emplace_back(std::move(lost));
   for (const auto& [task, loss] : losses) {
     if (runs.contains(task))
-      this->NoteLoss(*this->FindJob(task.job), PlaceOf(task), worker.info.life,
-                     loss, now);
+      this->RecordLoss(*this->FindJob(task.job), PositionOf(task),
+                       worker.info.life, loss, now);
   }
   for (const auto& [task, run] : runs)
-    this->TaskLost(task, run.number, now);
+    this->HandleLostRun(task, run.number, now);
 }
 
 }  // namespace quartzhoist::scheduler
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -33,13 +33,13 @@
     this->Confirm();
   }
 
-  static scheduler::Limits LimitsOf(std::uint64_t epoch) {
-    scheduler::Limits limits;
-    limits.lease = std::chrono::seconds(4);
-    limits.grant_bound = std::chrono::seconds(10);
-    limits.longest_grant = std::chrono::milliseconds(4200);
-    limits.longest_lease = std::chrono::milliseconds(8400);
-    limits.stop_time = std::chrono::milliseconds(400);
+  static scheduler::SchedulerLimits LimitsOf(std::uint64_t epoch) {
+    scheduler::SchedulerLimits limits;
+    limits.lease_duration = std::chrono::seconds(4);
+    limits.max_lease_after_confirmation = std::chrono::seconds(10);
+    limits.max_grant = std::chrono::milliseconds(4200);
+    limits.max_lease = std::chrono::milliseconds(8400);
+    limits.max_stop_time = std::chrono::milliseconds(400);
     limits.epoch = epoch;
     return limits;
   }
@@ -86,17 +86,17 @@
   // Sends a look to the worker and delivers `listing` as its answer 10 ms
   // later. The look grants a lease if `grant` is positive.
   void List(const std::string& worker,
-            scheduler::Listing listing,
+            scheduler::WorkerReport listing,
             base::Micros grant = {}) {
     const jobs::WorkerLife asked = this->LifeOf(worker);
     if (listing.life.empty())
       listing.life = asked;
-    this->scheduler.LookSent({.worker = asked}, this->now);
+    this->scheduler.PollSent({.worker = asked}, this->now);
     if (grant > base::Micros{})
-      this->scheduler.LookGrants(asked, grant);
+      this->scheduler.PollGrantsLease(asked, grant);
     this->now += std::chrono::milliseconds(10);
     listing.clock_ms = this->now.count() / 1000;
-    this->scheduler.Listed(asked, listing, this->now);
+    this->scheduler.WorkerReported(asked, listing, this->now);
     this->scheduler.WorkersRecorded({this->LifeOf(worker)});
   }
 
@@ -108,8 +108,8 @@
 
   // Confirms the ownership for the next 1.15 s.
   void Confirm() {
-    this->scheduler.Confirmed(this->now,
-                              this->now + std::chrono::milliseconds(1150));
+    this->scheduler.OwnershipConfirmed(
+        this->now, this->now + std::chrono::milliseconds(1150));
   }
 
   // Advances the time by 300 ms and runs a turn of the scheduler.
@@ -123,12 +123,12 @@
   // Reports that all of these saves succeeded.
   void Save(const std::vector<scheduler::SaveProgress>& saves) {
     for (const scheduler::SaveProgress& save : saves) {
-      this->scheduler.Saved({.job = save.job,
-                             .change = save.change,
-                             .outcome = scheduler::SaveOutcome::kSaved,
-                             .version = ++this->version,
-                             .stored = {}},
-                            this->now);
+      this->scheduler.ProgressSaved({.job = save.job,
+                                     .change = save.change,
+                                     .outcome = scheduler::SaveOutcome::kSaved,
+                                     .version = ++this->version,
+                                     .stored = {}},
+                                    this->now);
     }
   }
 
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -114,7 +114,7 @@
   const scheduler::WorkerInfo info = this->InfoOf(worker);
   this->workers[info.life.id] = std::move(worker);
   for (Owner& owner : this->owners)
-    owner.scheduler->PutWorker(info, this->now);
+    owner.scheduler->UpdateWorker(info, this->now);
 }
 
 scheduler::WorkerInfo SchedulerModel::InfoOf(const Worker& worker) const {
@@ -172,14 +172,14 @@
 // lease. The previous owner isn't told: it goes on without confirmations.
 void SchedulerModel::StartNewOwner() {
   const std::uint64_t epoch = this->owners.size() + 1;
-  scheduler::Limits limits;
-  limits.lease = kLease;
-  limits.grant_bound = kGrantBound;
-  limits.longest_grant = base::Micros(static_cast<std::int64_t>(
+  scheduler::SchedulerLimits limits;
+  limits.lease_duration = kLease;
+  limits.max_lease_after_confirmation = kGrantBound;
+  limits.max_grant = base::Micros(static_cast<std::int64_t>(
       static_cast<double>(kLease.count()) * kClockDriftFactor));
-  limits.longest_lease = base::Micros(static_cast<std::int64_t>(
+  limits.max_lease = base::Micros(static_cast<std::int64_t>(
       static_cast<double>(kLongestLease.count()) * kClockDriftFactor));
-  limits.stop_time = milliseconds(400);
+  limits.max_stop_time = milliseconds(400);
   limits.epoch = epoch;
   limits.fleet = {.move_duration = kMoveTime, .upkeep_duration = kUpkeepTime};
   Owner owner;
@@ -206,7 +206,7 @@
       successor.InheritWorker(held, *until);
     }
     if (!worker.silent && worker.announced)
-      successor.PutWorker(info, this->now);
+      successor.UpdateWorker(info, this->now);
   }
   jobs::Config config;
   config.services = {{.name = "pool"}, {.name = "other"}};
@@ -276,7 +276,7 @@
     return;
   this->last_confirmed = this->now;
   owner.certain_until = this->now + kOwnershipValidity;
-  owner.scheduler->Confirmed(this->now, owner.certain_until);
+  owner.scheduler->OwnershipConfirmed(this->now, owner.certain_until);
 }
 
 void SchedulerModel::InjectFaults() {
@@ -359,7 +359,7 @@
     if (!there.alive || !there.announced)
       return;
     for (Owner& owner : this->owners)
-      owner.scheduler->PutWorker(this->InfoOf(there), this->now);
+      owner.scheduler->UpdateWorker(this->InfoOf(there), this->now);
   });
 }
 
@@ -398,30 +398,31 @@
     this->SendStart(owner, *start);
   else if (const auto* stop = std::get_if<scheduler::StopRun>(&action))
     this->SendStop(owner, *stop);
-  else if (const auto* look = std::get_if<scheduler::LookAt>(&action))
+  else if (const auto* look = std::get_if<scheduler::PollWorker>(&action))
     this->SendLook(owner, *look);
   else if (const auto* save = std::get_if<scheduler::SaveProgress>(&action))
     this->Save(owner, *save);
-  else if (const auto* read = std::get_if<scheduler::ReadJob>(&action))
+  else if (const auto* read = std::get_if<scheduler::LoadJob>(&action))
     this->ReadJob(owner, read->job);
   else if (const auto* move = std::get_if<scheduler::MoveBox>(&action))
     this->RecordCall(owner, *move);
-  else if (const auto* upkeep = std::get_if<scheduler::UpkeepBox>(&action))
+  else if (const auto* upkeep = std::get_if<scheduler::MaintainBox>(&action))
     this->RecordCall(owner, *upkeep);
   else if (const auto* lost = std::get_if<scheduler::WorkerLost>(&action))
-    this->LogEvent(fmt::format(
-        "owner {}: {} is lost ({}) with {} runs", this->owners[owner].epoch,
-        lost->worker.id, base::NameOf(scheduler::kLossSignNames, lost->sign),
-        lost->runs.size()));
+    this->LogEvent(
+        fmt::format("owner {}: {} is lost ({}) with {} runs",
+                    this->owners[owner].epoch, lost->worker.id,
+                    base::NameOf(scheduler::kLossReasonNames, lost->reason),
+                    lost->runs.size()));
   else if (const auto* again = std::get_if<scheduler::WorkerRestarted>(&action))
     this->LogEvent(fmt::format(
         "owner {}: {} has started again, {} runs may be there",
-        this->owners[owner].epoch, again->worker.id, again->moved_runs));
+        this->owners[owner].epoch, again->worker.id, again->transferred_runs));
   else if (const auto* task = std::get_if<scheduler::TaskGivenUp>(&action))
     this->LogEvent(fmt::format("owner {}: {} {}.{} is given up",
                                this->owners[owner].epoch, task->job,
                                task->task.step.step, task->task.index));
-  else if (const auto* note = std::get_if<scheduler::Note>(&action))
+  else if (const auto* note = std::get_if<scheduler::LogNote>(&action))
     this->LogEvent(fmt::format("owner {}: {}: {}", this->owners[owner].epoch,
                                note->subject, note->text));
 }
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -60,7 +60,7 @@
   std::string service = "pool";
   // Tasks that crash each worker that starts them, `crash_after` after the
   // start. Another worker life starts on the box later.
-  std::set<scheduler::TaskPlace> crashing;
+  std::set<scheduler::TaskPosition> crashing;
   base::Micros crash_after = std::chrono::milliseconds(10);
 };
 
@@ -141,7 +141,7 @@
     base::Micros lease_deadline{};  // on its own clock
     std::map<jobs::TaskId, WorkerRun> running;
     std::map<jobs::TaskId, int> highest_over_run;  // ended or stopped
-    std::vector<scheduler::ListedEnd> ends;
+    std::vector<scheduler::ReportedEnd> ends;
     std::int64_t last_number = 0;
     std::int64_t acknowledged = 0;
   };
@@ -153,14 +153,15 @@
     bool cancelled = false;
     base::Micros unavailable_until{};  // its row's part of the store
     // Ends that were acknowledged to the workers, so an owner has stored them.
-    std::set<scheduler::TaskPlace> recorded_done;
-    std::map<scheduler::TaskPlace, int> recorded_failures;
-    std::set<scheduler::TaskPlace> ever_done;     // acknowledged or not
-    std::map<scheduler::TaskPlace, int> crashes;  // of workers that started it
-    std::map<scheduler::TaskPlace, int> starts_since_third_crash;
+    std::set<scheduler::TaskPosition> recorded_done;
+    std::map<scheduler::TaskPosition, int> recorded_failures;
+    std::set<scheduler::TaskPosition> ever_done;  // acknowledged or not
+    std::map<scheduler::TaskPosition, int>
+        crashes;  // of workers that started it
+    std::map<scheduler::TaskPosition, int> starts_since_third_crash;
     // Worker lives that ended without an order while the task ran there,
     // whatever the cause.
-    std::map<scheduler::TaskPlace, int> lost_workers;
+    std::map<scheduler::TaskPosition, int> lost_workers;
   };
   // `available_at`: end of the current move or upkeep.
   struct Box {
@@ -212,7 +213,7 @@
                    const scheduler::BoxCall& call,
                    bool is_answered);
   scheduler::BoxCallOutcome ExecuteMove(const scheduler::MoveBox& call);
-  scheduler::BoxCallOutcome ExecuteUpkeep(const scheduler::UpkeepBox& call);
+  scheduler::BoxCallOutcome ExecuteUpkeep(const scheduler::MaintainBox& call);
   void DeliverCallOutcome(std::size_t owner,
                           const scheduler::BoxCall& call,
                           scheduler::BoxCallOutcome outcome);
@@ -230,16 +231,17 @@
   void Dispatch(std::size_t owner, const scheduler::Action& action);
   void SendStart(std::size_t owner, const scheduler::StartRun& order);
   void SendStop(std::size_t owner, const scheduler::StopRun& order);
-  void SendLook(std::size_t owner, const scheduler::LookAt& order);
+  void SendLook(std::size_t owner, const scheduler::PollWorker& order);
   void Save(std::size_t owner, const scheduler::SaveProgress& save);
-  void Deliver(std::size_t owner,
-               const std::string& worker,
-               const std::function<scheduler::OrderOutcome(Worker&)>& carry_out,
-               const std::function<void(scheduler::OrderOutcome)>& answer);
-  scheduler::OrderOutcome BeginRun(Worker& worker,
-                                   const scheduler::StartRun& order,
-                                   std::uint64_t epoch,
-                                   base::Micros deadline);
+  void Deliver(
+      std::size_t owner,
+      const std::string& worker,
+      const std::function<scheduler::CommandOutcome(Worker&)>& carry_out,
+      const std::function<void(scheduler::CommandOutcome)>& answer);
+  scheduler::CommandOutcome BeginRun(Worker& worker,
+                                     const scheduler::StartRun& order,
+                                     std::uint64_t epoch,
+                                     base::Micros deadline);
   void CheckStart(const Worker& worker, const scheduler::StartRun& order);
   void CheckCrashLimit(const scheduler::StartRun& order);
   void ScheduleCrash(const Worker& worker, const scheduler::StartRun& order);
@@ -248,13 +250,15 @@
   void Restart(Worker& worker);
   void BeginNextLife(Worker& worker);
   void ChangeCapacity(const std::string& id, const jobs::Resources& capacity);
-  void EndRun(Worker& worker, const jobs::TaskId& task, scheduler::RunEnd how);
+  void EndRun(Worker& worker,
+              const jobs::TaskId& task,
+              scheduler::RunEndReason how);
   void AdvanceRuns(Worker& worker);
   void AcknowledgeEnds(Worker& worker, std::int64_t acknowledged);
   // Called for a start or a look, both of which grant a lease.
   void GrantLease(Worker& worker, base::Micros deadline) const;
   base::Micros ClockOf(const Worker& worker) const;
-  scheduler::Listing ListingOf(const Worker& worker) const;
+  scheduler::WorkerReport ListingOf(const Worker& worker) const;
   void ReportViolation(const std::string& what);
   void LogEvent(const std::string& what);
 
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -48,7 +48,7 @@
     this->ScheduleAfter(this->Between(300, 3000), [this, life = id] {
       this->workers.at(life).announced = false;
       for (Owner& owner : this->owners)
-        owner.scheduler->WorkerUnlisted(life, this->now);
+        owner.scheduler->WorkerDeregistered(life, this->now);
     });
   }
   box.state = state;
@@ -100,7 +100,7 @@
   scheduler::Wave wave{.number = kWaveNumber,
                        .boxes = {},
                        .duration = std::chrono::seconds(60),
-                       .most_at_once = this->wave_limit};
+                       .max_concurrent = this->wave_limit};
   std::vector<std::string> begun;
   for (const auto& [name, box] : this->boxes) {
     wave.boxes.push_back(name);
@@ -184,9 +184,10 @@
       outcome = BoxCallOutcome::kFenced;
     } else {
       found->second.epoch = epoch;
-      outcome = std::holds_alternative<scheduler::MoveBox>(call)
-                    ? this->ExecuteMove(std::get<scheduler::MoveBox>(call))
-                    : this->ExecuteUpkeep(std::get<scheduler::UpkeepBox>(call));
+      outcome =
+          std::holds_alternative<scheduler::MoveBox>(call)
+              ? this->ExecuteMove(std::get<scheduler::MoveBox>(call))
+              : this->ExecuteUpkeep(std::get<scheduler::MaintainBox>(call));
     }
   }
   this->LogEvent(fmt::format(
@@ -209,7 +210,8 @@
   return BoxCallOutcome::kDone;
 }
 
-BoxCallOutcome SchedulerModel::ExecuteUpkeep(const scheduler::UpkeepBox& call) {
+BoxCallOutcome SchedulerModel::ExecuteUpkeep(
+    const scheduler::MaintainBox& call) {
   Box& box = this->boxes.at(call.box);
   if (box.had_upkeep)
     return BoxCallOutcome::kDone;
@@ -217,12 +219,12 @@
     return BoxCallOutcome::kBusy;
   const auto down = std::count_if(
       this->boxes.begin(), this->boxes.end(), [](const auto& entry) {
-        return entry.second.state == BoxState::kUpkeep;
+        return entry.second.state == BoxState::kMaintenance;
       });
   if (down >= this->wave_limit)
     this->ReportViolation(fmt::format(
         "upkeep of {} starts while {} boxes are in upkeep", call.box, down));
-  this->ShutDownBox(call.box, BoxState::kUpkeep, kUpkeepTime);
+  this->ShutDownBox(call.box, BoxState::kMaintenance, kUpkeepTime);
   box.had_upkeep = true;
   return BoxCallOutcome::kDone;
 }
@@ -239,9 +241,10 @@
   }
   scheduler::Scheduler& owner = *this->owners[index].scheduler;
   if (const auto* move = std::get_if<scheduler::MoveBox>(&call))
-    owner.Moved(*move, outcome, this->now);
+    owner.MoveAnswered(*move, outcome, this->now);
   else
-    owner.UpkeepBegun(std::get<scheduler::UpkeepBox>(call), outcome, this->now);
+    owner.MaintenanceAnswered(std::get<scheduler::MaintainBox>(call), outcome,
+                              this->now);
 }
 
 // --- Limit on tasks that may be away ---
--- a/testing/scheduler_model_store.cc
+++ b/testing/scheduler_model_store.cc
@@ -43,7 +43,7 @@
     const StoredJob& stored = this->jobs.at(id);
     jobs::Progress progress = jobs::DecodeProgress(stored.progress).value();
     if (progress.IsOver()) {
-      owner.JobIsOver(id, this->now);
+      owner.UnknownJobIsOver(id, this->now);
       return;
     }
     scheduler::Job job = this->MakeJob(id, std::move(progress));
@@ -61,7 +61,7 @@
       .text = entry::EncodeKept({.text = save.text}),
       .version = save.version,
       .change = save.change,
-      .over = save.over};
+      .is_over = save.is_over};
   const auto write = [this, save] {
     StoredJob& stored = this->jobs.at(save.job);
     if (stored.version != save.version)
@@ -71,7 +71,7 @@
     return true;
   };
   const auto answer = [this, index](const scheduler::SaveResult& result) {
-    this->owners[index].scheduler->Saved(result, this->now);
+    this->owners[index].scheduler->ProgressSaved(result, this->now);
   };
   const base::Micros away_for =
       this->jobs.at(save.job).unavailable_until - this->now;
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-using scheduler::OrderOutcome;
+using scheduler::CommandOutcome;
 using std::chrono::milliseconds;
 
 // Time within which an owner must have learned of a changed capacity: the
@@ -32,22 +32,22 @@
       std::max(worker.lease_deadline, std::min(deadline, latest));
 }
 
-OrderOutcome SchedulerModel::BeginRun(Worker& worker,
-                                      const scheduler::StartRun& order,
-                                      std::uint64_t epoch,
-                                      base::Micros deadline) {
+CommandOutcome SchedulerModel::BeginRun(Worker& worker,
+                                        const scheduler::StartRun& order,
+                                        std::uint64_t epoch,
+                                        base::Micros deadline) {
   if (epoch < worker.epoch)
-    return OrderOutcome::kFenced;
+    return CommandOutcome::kFenced;
   worker.epoch = epoch;
   if (deadline < this->ClockOf(worker))
-    return OrderOutcome::kLate;
+    return CommandOutcome::kLeaseExpired;
   this->GrantLease(worker, deadline);
   const auto over = worker.highest_over_run.find(order.task);
   const auto run = worker.running.find(order.task);
   if (run != worker.running.end() && run->second.number == order.run)
-    return OrderOutcome::kDone;
+    return CommandOutcome::kDone;
   if (over != worker.highest_over_run.end() && order.run <= over->second)
-    return OrderOutcome::kOld;
+    return CommandOutcome::kSuperseded;
   this->CheckStart(worker, order);
   this->CheckCrashLimit(order);
   this->LogEvent(fmt::format("{} starts {} {}.{} run {}", worker.id,
@@ -61,19 +61,19 @@
   base::Micros ends = this->now + this->Between(200, 2500);
   const bool crashes =
       this->jobs.at(order.task.job)
-          .job.crashing.contains(scheduler::PlaceOf(order.task));
+          .job.crashing.contains(scheduler::PositionOf(order.task));
   if (crashes || (step.lasting && !fails))
     ends = base::Micros::max();
   worker.running[order.task] = {
       .number = order.run, .ends = ends, .fails = fails};
   this->ScheduleCrash(worker, order);
-  return OrderOutcome::kDone;
+  return CommandOutcome::kDone;
 }
 
 void SchedulerModel::ScheduleCrash(const Worker& worker,
                                    const scheduler::StartRun& order) {
   const ModelJob& job = this->jobs.at(order.task.job).job;
-  const scheduler::TaskPlace place = scheduler::PlaceOf(order.task);
+  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
   if (!job.crashing.contains(place))
     return;
   this->ScheduleAfter(job.crash_after, [this, id = worker.id, order, place] {
@@ -118,7 +118,7 @@
     this->ScheduleAfter(this->Between(20, 1500), [this, i, id = worker.id] {
       const Worker& there = this->workers.at(id);
       if (there.alive && there.announced)
-        this->owners[i].scheduler->PutWorker(this->InfoOf(there), this->now);
+        this->owners[i].scheduler->UpdateWorker(this->InfoOf(there), this->now);
     });
   }
 }
@@ -138,13 +138,13 @@
   this->ScheduleAfter(this->Between(3000, 4500), [this, life = worker.id] {
     this->workers.at(life).announced = false;
     for (Owner& owner : this->owners)
-      owner.scheduler->WorkerUnlisted(life, this->now);
+      owner.scheduler->WorkerDeregistered(life, this->now);
   });
 }
 
 void SchedulerModel::CountLosses(const Worker& worker) {
   for (const auto& [task, run] : worker.running)
-    ++this->jobs.at(task.job).lost_workers[scheduler::PlaceOf(task)];
+    ++this->jobs.at(task.job).lost_workers[scheduler::PositionOf(task)];
 }
 
 // A task that has crashed three workers may be started at most twice more.
@@ -152,7 +152,7 @@
   constexpr int kCrashes = 3;
   constexpr int kStartsBeyond = 3;
   StoredJob& stored = this->jobs.at(order.task.job);
-  const scheduler::TaskPlace place = scheduler::PlaceOf(order.task);
+  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
   const auto crashes = stored.crashes.find(place);
   if (crashes == stored.crashes.end() || crashes->second < kCrashes)
     return;
@@ -168,7 +168,7 @@
 void SchedulerModel::CheckStart(const Worker& worker,
                                 const scheduler::StartRun& order) {
   const StoredJob& stored = this->jobs.at(order.task.job);
-  const scheduler::TaskPlace place = scheduler::PlaceOf(order.task);
+  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
   const std::string name =
       fmt::format("{} step {} task {} run {}", order.task.job, place.step,
                   place.index, order.run);
@@ -212,35 +212,35 @@
 
 void SchedulerModel::EndRun(Worker& worker,
                             const jobs::TaskId& task,
-                            scheduler::RunEnd how) {
+                            scheduler::RunEndReason how) {
   const auto found = worker.running.find(task);
   const int number = found->second.number;
   this->LogEvent(fmt::format("{}: {} {}.{} run {} ends {}", worker.id, task.job,
                              task.step, task.index, number,
-                             base::NameOf(scheduler::kRunEndNames, how)));
+                             base::NameOf(scheduler::kRunEndReasonNames, how)));
   worker.running.erase(found);
   int& over = worker.highest_over_run[task];
   over = std::max(over, number);
-  worker.ends.push_back({.number = ++worker.last_number,
+  worker.ends.push_back({.sequence = ++worker.last_number,
                          .task = task,
                          .run = number,
-                         .how = how,
+                         .reason = how,
                          .checkpoint = ""});
-  if (how == scheduler::RunEnd::kDone)
-    this->jobs.at(task.job).ever_done.insert(scheduler::PlaceOf(task));
+  if (how == scheduler::RunEndReason::kSucceeded)
+    this->jobs.at(task.job).ever_done.insert(scheduler::PositionOf(task));
 }
 
 void SchedulerModel::AdvanceRuns(Worker& worker) {
   const bool lapsed = this->ClockOf(worker) > worker.lease_deadline;
-  std::vector<std::pair<jobs::TaskId, scheduler::RunEnd>> over;
+  std::vector<std::pair<jobs::TaskId, scheduler::RunEndReason>> over;
   for (const auto& [task, run] : worker.running) {
     if (lapsed)
-      over.emplace_back(task, scheduler::RunEnd::kLapsed);
+      over.emplace_back(task, scheduler::RunEndReason::kLeaseExpired);
     else if (run.stopping && run.ends <= this->now)
-      over.emplace_back(task, scheduler::RunEnd::kStopped);
+      over.emplace_back(task, scheduler::RunEndReason::kStopped);
     else if (run.ends <= this->now)
-      over.emplace_back(task, run.fails ? scheduler::RunEnd::kFailed
-                                        : scheduler::RunEnd::kDone);
+      over.emplace_back(task, run.fails ? scheduler::RunEndReason::kFailed
+                                        : scheduler::RunEndReason::kSucceeded);
   }
   for (const auto& [task, how] : over)
     this->EndRun(worker, task, how);
@@ -249,22 +249,22 @@
 // Called when the worker learns that ends up to this number are recorded.
 void SchedulerModel::AcknowledgeEnds(Worker& worker,
                                      std::int64_t acknowledged) {
-  for (const scheduler::ListedEnd& end : worker.ends) {
-    if (end.number > acknowledged)
+  for (const scheduler::ReportedEnd& end : worker.ends) {
+    if (end.sequence > acknowledged)
       continue;
     StoredJob& stored = this->jobs.at(end.task.job);
-    if (end.how == scheduler::RunEnd::kDone)
-      stored.recorded_done.insert(scheduler::PlaceOf(end.task));
-    if (end.how == scheduler::RunEnd::kFailed)
-      ++stored.recorded_failures[scheduler::PlaceOf(end.task)];
+    if (end.reason == scheduler::RunEndReason::kSucceeded)
+      stored.recorded_done.insert(scheduler::PositionOf(end.task));
+    if (end.reason == scheduler::RunEndReason::kFailed)
+      ++stored.recorded_failures[scheduler::PositionOf(end.task)];
   }
-  std::erase_if(worker.ends, [acknowledged](const scheduler::ListedEnd& end) {
-    return end.number <= acknowledged;
+  std::erase_if(worker.ends, [acknowledged](const scheduler::ReportedEnd& end) {
+    return end.sequence <= acknowledged;
   });
 }
 
-scheduler::Listing SchedulerModel::ListingOf(const Worker& worker) const {
-  scheduler::Listing listing;
+scheduler::WorkerReport SchedulerModel::ListingOf(const Worker& worker) const {
+  scheduler::WorkerReport listing;
   listing.life = {.id = worker.id, .born_ms = worker.born_ms};
   listing.clock_ms = base::Millis(this->ClockOf(worker));
   for (const auto& [task, run] : worker.running) {
