--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -239,9 +239,9 @@
   if (this->MayOrder()) {
     this->ResumeOrders();
     if (this->quotas.IsDue(this->last_turn))
-      this->quotas.Act(this->scheduler.QuotaNeeds(),
-                       this->scheduler.KnowsAllRuns(this->last_turn),
-                       this->last_turn);
+      this->quotas.Update(this->scheduler.QuotaNeeds(),
+                          this->scheduler.KnowsAllRuns(this->last_turn),
+                          this->last_turn);
     this->scheduler.Advance(this->last_turn);
     this->CarryAll();
     this->RecordBoxCalls();
--- a/entry/quota_records.cc
+++ b/entry/quota_records.cc
@@ -16,53 +16,55 @@
 
 // Needs change with each task; shares follow them at this pace. A transfer
 // takes two writes, of the one that asks and of the one that gives.
-constexpr base::Micros kActPeriod = milliseconds(50);
+constexpr base::Micros kUpdatePeriod = milliseconds(50);
 // Shards step at different paces, or many of them would write one row at the
 // same moments, of which one is made.
-constexpr base::Micros kActSpread = milliseconds(15);  // a shard
-constexpr base::Micros kClaimAgain = milliseconds(200);
+constexpr base::Micros kUpdateStagger = milliseconds(15);  // a shard
+constexpr base::Micros kClaimRetryDelay = milliseconds(200);
 
 }  // namespace
 
-QuotaRecords::QuotaRecords(base::Loop& on,
-                           platform::Store& in,
-                           const Shard& of,
-                           std::uint64_t own_epoch,
-                           OnShare tell)
-    : loop(on),
-      store(in),
-      shard(of),
-      epoch(own_epoch),
-      on_share(std::move(tell)),
-      shares(of),
+QuotaRecords::QuotaRecords(base::Loop& loop,
+                           platform::Store& store,
+                           const Shard& shard,
+                           std::uint64_t epoch,
+                           OnShareChanged on_share_changed)
+    : loop(loop),
+      store(store),
+      shard(shard),
+      epoch(epoch),
+      on_share_changed(std::move(on_share_changed)),
+      shares(shard),
       alive(std::make_shared<bool>(true)) {
-  this->known = of.count == 1;
+  this->rows_loaded = shard.count == 1;
 }
 
 QuotaRecords::~QuotaRecords() {
   *this->alive = false;
 }
 
-void QuotaRecords::Act(const std::map<std::string, scheduler::QuotaNeed>& needs,
-                       bool knows_all,
-                       base::Micros now) {
-  this->next_act = now + kActPeriod + kActSpread * this->shard.number;
+void QuotaRecords::Update(
+    const std::map<std::string, scheduler::QuotaNeed>& needs,
+    bool usage_complete,
+    base::Micros now) {
+  this->next_update = now + kUpdatePeriod + kUpdateStagger * this->shard.number;
   // Where nobody has a quota nothing is written or read.
   if (needs.empty())
     return;
-  if (!this->known) {
-    if (this->claimed_at == 0 && !this->claiming && now >= this->next_claim)
-      this->Claim();
+  if (!this->rows_loaded) {
+    if (this->claim_version == 0 && !this->claiming && now >= this->next_claim)
+      this->ClaimOwnership();
     return;
   }
-  for (const QuotaShares::Write& write : this->shares.Decide(needs, knows_all))
+  for (const QuotaShares::Write& write :
+       this->shares.PlanWrites(needs, usage_complete))
     this->Write(write);
-  this->TellShares(needs);
+  this->ReportShares(needs);
 }
 
 // From here on an earlier owner's writes that are on their way are refused; the
 // rows are read after that.
-void QuotaRecords::Claim() {
+void QuotaRecords::ClaimOwnership() {
   this->claiming = true;
   const platform::WriteBatch write{
       .conditions = {},
@@ -70,19 +72,19 @@
                 .value = std::to_string(this->epoch)}},
       .removes = {}};
   this->store.Write(
-      write, [this, lives = this->alive](const platform::WriteResult& result) {
-        if (!*lives)
+      write, [this, alive = this->alive](const platform::WriteResult& result) {
+        if (!*alive)
           return;
         this->claiming = false;
-        this->next_claim = base::MonotonicNow() + kClaimAgain;
+        this->next_claim = base::MonotonicNow() + kClaimRetryDelay;
         if (result.outcome != platform::WriteOutcome::kDone)
           return;
-        this->claimed_at = result.version;
-        this->Follow();
+        this->claim_version = result.version;
+        this->StartFollower();
       });
 }
 
-void QuotaRecords::Follow() {
+void QuotaRecords::StartFollower() {
   this->follower = std::make_unique<platform::TableFollower>(
       this->loop, this->store, std::string(kQuotaTable),
       std::vector<std::string>{QuotaOwnerRow(this->shard).part},
@@ -90,66 +92,67 @@
           .on_all =
               [this](const std::vector<platform::Row>& rows) {
                 for (const platform::Row& row : rows)
-                  this->TakeRow(row);
-                this->known = true;
+                  this->ApplyRow(row);
+                this->rows_loaded = true;
               },
           .on_changes =
               [this](const std::vector<platform::ChangedRow>& rows) {
                 for (const platform::ChangedRow& changed : rows) {
                   if (!changed.removed)
-                    this->TakeRow(changed.row);
+                    this->ApplyRow(changed.row);
                 }
               },
           .on_contact = [](base::Micros) {},
           .on_lost = [] {}});
 }
 
-void QuotaRecords::TakeRow(const platform::Row& row) {
+void QuotaRecords::ApplyRow(const platform::Row& row) {
   // An own claim that was made twice.
   if (row.at.key == QuotaOwnerRow(this->shard).key &&
       row.value == std::to_string(this->epoch))
-    this->claimed_at = std::max(this->claimed_at, row.version);
+    this->claim_version = std::max(this->claim_version, row.version);
   const std::optional<std::string> organisation = ParseQuotaKey(row.at.key);
   if (!organisation)
     return;
   const auto shared = DecodeQuotaRow(row.value, this->shard.count);
   if (!shared)
     base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
-  this->shares.Seen(*organisation, shared, row.version);
+  this->shares.OnRowRead(*organisation, shared, row.version);
 }
 
 void QuotaRecords::Write(const QuotaShares::Write& wanted) {
   const platform::RowKey row = QuotaRowOf(wanted.organisation);
   const platform::WriteBatch write{
       .conditions = {{.at = QuotaOwnerRow(this->shard),
-                      .version = this->claimed_at},
+                      .version = this->claim_version},
                      {.at = row, .version = wanted.version}},
       .puts = {{.at = row, .value = EncodeQuotaRow(wanted.row)}},
       .removes = {}};
   const std::string& organisation = wanted.organisation;
-  this->store.Write(write, [this, organisation, lives = this->alive](
+  this->store.Write(write, [this, organisation, alive = this->alive](
                                const platform::WriteResult& result) {
-    if (*lives)
-      this->TakeWritten(organisation, result);
+    if (*alive)
+      this->OnWriteResult(organisation, result);
   });
 }
 
-void QuotaRecords::TakeWritten(const std::string& organisation,
-                               const platform::WriteResult& result) {
+void QuotaRecords::OnWriteResult(const std::string& organisation,
+                                 const platform::WriteResult& result) {
   const bool is_done = result.outcome == platform::WriteOutcome::kDone;
-  this->shares.Settled(organisation,
-                       is_done ? std::optional(result.version) : std::nullopt);
+  this->shares.OnWriteFinished(
+      organisation, is_done ? std::optional(result.version) : std::nullopt);
   if (result.outcome != platform::WriteOutcome::kConflict)
     return;
   for (const platform::Row& row : result.rows)
-    this->TakeRow(row);
+    this->ApplyRow(row);
 }
 
-void QuotaRecords::TellShares(
+void QuotaRecords::ReportShares(
     const std::map<std::string, scheduler::QuotaNeed>& needs) {
   for (const auto& [organisation, need] : needs) {
     const int share = this->shares.ShareOf(organisation);
-    const auto [entry, is_new] = this->told.try_emplace(organisation, share);
+    const auto [entry, is_new] =
+        this->reported_shares.try_emplace(organisation, share);
     if (!is_new && entry->second == share)
       continue;
     entry->second = share;
@@ -159,7 +162,7 @@
                                             {"share", share},
                                             {"used", need.used},
                                             {"wanted", need.wanted}});
-    this->on_share(organisation, share);
+    this->on_share_changed(organisation, share);
   }
 }
 
--- a/entry/quota_records.h
+++ b/entry/quota_records.h
@@ -22,48 +22,48 @@
 
 class QuotaRecords {
  public:
-  // `on_share`: what this shard may use of an organisation's quota from now on,
-  // in thousandths.
-  using OnShare =
+  // `on_share_changed`: what this shard may use of an organisation's quota from
+  // now on, in thousandths.
+  using OnShareChanged =
       std::function<void(const std::string& organisation, int share)>;
 
   QuotaRecords(base::Loop& loop,
                platform::Store& store,
                const Shard& shard,
                std::uint64_t epoch,
-               OnShare on_share);
+               OnShareChanged on_share_changed);
   ~QuotaRecords();
   QuotaRecords(const QuotaRecords&) = delete;
   QuotaRecords& operator=(const QuotaRecords&) = delete;
 
   // Shares follow needs at a pace: is the next step due?
-  bool IsDue(base::Micros now) const { return now >= this->next_act; }
+  bool IsDue(base::Micros now) const { return now >= this->next_update; }
   // The organisations with a quota, and how they stand.
-  void Act(const std::map<std::string, scheduler::QuotaNeed>& needs,
-           bool knows_all,
-           base::Micros now);
+  void Update(const std::map<std::string, scheduler::QuotaNeed>& needs,
+              bool usage_complete,
+              base::Micros now);
 
  private:
-  void Claim();
-  void Follow();
-  void TakeRow(const platform::Row& row);
+  void ClaimOwnership();
+  void StartFollower();
+  void ApplyRow(const platform::Row& row);
   void Write(const QuotaShares::Write& wanted);
-  void TakeWritten(const std::string& organisation,
-                   const platform::WriteResult& result);
-  void TellShares(const std::map<std::string, scheduler::QuotaNeed>& needs);
+  void OnWriteResult(const std::string& organisation,
+                     const platform::WriteResult& result);
+  void ReportShares(const std::map<std::string, scheduler::QuotaNeed>& needs);
 
   base::Loop& loop;
   platform::Store& store;
   Shard shard;
   std::uint64_t epoch = 0;
-  OnShare on_share;
+  OnShareChanged on_share_changed;
   QuotaShares shares;
   bool claiming = false;
-  std::uint64_t claimed_at = 0;  // the own row's version; 0: not written yet
-  bool known = false;            // the rows have been read since
+  std::uint64_t claim_version = 0;  // the own row's version; 0: not written yet
+  bool rows_loaded = false;         // the rows have been read since
   base::Micros next_claim{};
-  base::Micros next_act{};
-  std::map<std::string, int> told;  // by organisation
+  base::Micros next_update{};
+  std::map<std::string, int> reported_shares;  // by organisation
   std::unique_ptr<platform::TableFollower> follower;
   // Calls still on their way when this is destroyed find it unset.
   std::shared_ptr<bool> alive;
--- a/entry/quota_shares.cc
+++ b/entry/quota_shares.cc
@@ -15,21 +15,21 @@
 
 // A want that differs by less is not written anew: at a height of demand it
 // grows with each task that waits.
-constexpr int kWantStep = 50;
+constexpr int kMinRequestChange = 50;
 // What a shard keeps of its share beyond what it uses and wants, so that its
 // next tasks need not ask first.
-constexpr int kKeep = 20;
+constexpr int kReservedShare = 20;
 
-std::vector<int> Numbers(const Json& list, std::size_t count) {
-  std::vector<int> numbers;
+std::vector<int> ParseShareArray(const Json& list, std::size_t count) {
+  std::vector<int> values;
   if (!list.is_array() || list.size() != count)
-    return numbers;
+    return values;
   for (const Json& number : list) {
     if (!number.is_number_integer() || number < 0 || number > kWholeQuota)
       return {};
-    numbers.push_back(number.get<int>());
+    values.push_back(number.get<int>());
   }
-  return numbers;
+  return values;
 }
 
 }  // namespace
@@ -51,19 +51,19 @@
   if (!json.is_object() || !json.contains("shares") || !json.contains("wants"))
     return std::nullopt;
   const auto count = static_cast<std::size_t>(shards);
-  QuotaRow row{.shares = Numbers(json["shares"], count),
-               .wants = Numbers(json["wants"], count)};
+  QuotaRow row{.shares = ParseShareArray(json["shares"], count),
+               .wants = ParseShareArray(json["wants"], count)};
   const int sum = std::accumulate(row.shares.begin(), row.shares.end(), 0);
   if (row.shares.empty() || row.wants.empty() || sum > kWholeQuota)
     return std::nullopt;
   return row;
 }
 
-QuotaShares::Entry& QuotaShares::At(const std::string& organisation) {
+QuotaShares::Entry& QuotaShares::EntryFor(const std::string& organisation) {
   const auto [entry, is_new] = this->entries.try_emplace(organisation);
   if (is_new) {
     entry->second.row = EqualShares(this->shard.count);
-    entry->second.held = this->OwnShare(entry->second.row);
+    entry->second.effective_share = this->OwnShare(entry->second.row);
   }
   return entry->second;
 }
@@ -74,42 +74,45 @@
 
 // While a write is on its way that lowers the own share, the lower one counts:
 // the row may show it at any time.
-void QuotaShares::Seen(const std::string& organisation,
-                       const std::optional<QuotaRow>& row,
-                       std::uint64_t version) {
-  Entry& entry = this->At(organisation);
+void QuotaShares::OnRowRead(const std::string& organisation,
+                            const std::optional<QuotaRow>& row,
+                            std::uint64_t version) {
+  Entry& entry = this->EntryFor(organisation);
   if (version <= entry.version)
     return;
   entry.row = row.value_or(EqualShares(this->shard.count));
   entry.version = version;
   const int own = this->OwnShare(entry.row);
-  entry.held = row ? own : std::min(entry.held, own);
-  if (entry.writing)
-    entry.held = std::min(entry.held, this->OwnShare(*entry.writing));
+  entry.effective_share = row ? own : std::min(entry.effective_share, own);
+  if (entry.pending_write)
+    entry.effective_share =
+        std::min(entry.effective_share, this->OwnShare(*entry.pending_write));
 }
 
-std::vector<QuotaShares::Write> QuotaShares::Decide(
+std::vector<QuotaShares::Write> QuotaShares::PlanWrites(
     const std::map<std::string, scheduler::QuotaNeed>& needs,
-    bool knows_all) {
+    bool usage_complete) {
   std::vector<Write> writes;
   if (this->shard.count == 1)
     return writes;
   for (const auto& [organisation, need] : needs) {
-    Entry& entry = this->At(organisation);
-    if (entry.writing)
+    Entry& entry = this->EntryFor(organisation);
+    if (entry.pending_write)
       continue;
     QuotaRow next = entry.row;
-    this->Ask(next, need);
-    if (knows_all)
-      this->Give(next, need);
+    this->UpdateRequest(next, need);
+    if (usage_complete)
+      this->GrantSurplus(next, need);
     // A write of unknown fate keeps the own share low; another one, of whatever
     // row, leaves it no version to be made in.
-    const bool is_kept_low =
-        entry.held < this->OwnShare(entry.row) && need.wanted > entry.held;
-    if (next == entry.row && !is_kept_low)
+    const bool must_rewrite =
+        entry.effective_share < this->OwnShare(entry.row) &&
+        need.wanted > entry.effective_share;
+    if (next == entry.row && !must_rewrite)
       continue;
-    entry.writing = next;
-    entry.held = std::min(entry.held, this->OwnShare(next));
+    entry.pending_write = next;
+    entry.effective_share =
+        std::min(entry.effective_share, this->OwnShare(next));
     writes.push_back({.organisation = organisation,
                       .version = entry.version,
                       .row = std::move(next)});
@@ -117,54 +120,59 @@
   return writes;
 }
 
-void QuotaShares::Ask(QuotaRow& row, const scheduler::QuotaNeed& need) const {
+void QuotaShares::UpdateRequest(QuotaRow& row,
+                                const scheduler::QuotaNeed& need) const {
   const auto own = static_cast<std::size_t>(this->shard.number);
-  const bool is_short = need.wanted > row.shares[own];
-  const int want = is_short ? std::min(need.wanted, kWholeQuota) : 0;
+  const bool above_share = need.wanted > row.shares[own];
+  const int want = above_share ? std::min(need.wanted, kWholeQuota) : 0;
   const int asked = row.wants[own];
-  const bool is_met = is_short && asked <= row.shares[own];
-  const bool differs =
-      (want == 0) != (asked == 0) || std::abs(want - asked) >= kWantStep;
-  if (differs || is_met)
+  const bool request_met = above_share && asked <= row.shares[own];
+  const bool differs = (want == 0) != (asked == 0) ||
+                       std::abs(want - asked) >= kMinRequestChange;
+  if (differs || request_met)
     row.wants[own] = want;
 }
 
 // What this shard neither uses nor wants goes to those that are short. One that
 // is short itself keeps an equal share, so that nobody is starved.
-void QuotaShares::Give(QuotaRow& row, const scheduler::QuotaNeed& need) const {
+void QuotaShares::GrantSurplus(QuotaRow& row,
+                               const scheduler::QuotaNeed& need) const {
   const auto own = static_cast<std::size_t>(this->shard.number);
   const int equal = kWholeQuota / this->shard.count;
-  const int needed = std::max(need.used, std::min(need.wanted + kKeep, equal));
-  int spare = row.shares[own] - needed;
-  for (std::size_t other = 0; other < row.shares.size() && spare > 0; ++other) {
-    const int lacks = row.wants[other] - row.shares[other];
-    if (other == own || row.wants[other] == 0 || lacks <= 0)
+  const int needed =
+      std::max(need.used, std::min(need.wanted + kReservedShare, equal));
+  int surplus = row.shares[own] - needed;
+  for (std::size_t other = 0; other < row.shares.size() && surplus > 0;
+       ++other) {
+    const int shortfall = row.wants[other] - row.shares[other];
+    if (other == own || row.wants[other] == 0 || shortfall <= 0)
       continue;
-    const int given = std::min(spare, lacks);
-    row.shares[own] -= given;
-    row.shares[other] += given;
-    spare -= given;
+    const int granted = std::min(surplus, shortfall);
+    row.shares[own] -= granted;
+    row.shares[other] += granted;
+    surplus -= granted;
   }
 }
 
 // A write of unknown fate may still be made: what it lowers stays lowered until
 // the row is seen in a version that leaves no room for it.
-void QuotaShares::Settled(const std::string& organisation,
-                          std::optional<std::uint64_t> done_at) {
-  Entry& entry = this->At(organisation);
-  if (!entry.writing)
+void QuotaShares::OnWriteFinished(
+    const std::string& organisation,
+    std::optional<std::uint64_t> written_version) {
+  Entry& entry = this->EntryFor(organisation);
+  if (!entry.pending_write)
     return;
-  const QuotaRow written = *entry.writing;
-  entry.writing.reset();
-  if (done_at)
-    this->Seen(organisation, written, *done_at);
+  const QuotaRow written = *entry.pending_write;
+  entry.pending_write.reset();
+  if (written_version)
+    this->OnRowRead(organisation, written, *written_version);
 }
 
 int QuotaShares::ShareOf(const std::string& organisation) const {
   const auto found = this->entries.find(organisation);
   return found == this->entries.end()
              ? this->OwnShare(EqualShares(this->shard.count))
-             : found->second.held;
+             : found->second.effective_share;
 }
 
 }  // namespace quartzhoist::entry
--- a/entry/quota_shares.h
+++ b/entry/quota_shares.h
@@ -44,22 +44,23 @@
     QuotaRow row;
   };
 
-  explicit QuotaShares(const Shard& of) : shard(of) {}
+  explicit QuotaShares(const Shard& shard) : shard(shard) {}
 
   // The store has this row, or one that cannot be read; rows that come late are
   // passed over.
-  void Seen(const std::string& organisation,
-            const std::optional<QuotaRow>& row,
-            std::uint64_t version);
+  void OnRowRead(const std::string& organisation,
+                 const std::optional<QuotaRow>& row,
+                 std::uint64_t version);
   // What is to be written now, of organisations with no write on its way.
-  // `knows_all`: the owner knows all that runs in its shard, so that it may
-  // give away what it does not use.
-  std::vector<Write> Decide(
+  // `usage_complete`: the owner knows all that runs in its shard, so that it
+  // may give away what it does not use.
+  std::vector<Write> PlanWrites(
       const std::map<std::string, scheduler::QuotaNeed>& needs,
-      bool knows_all);
-  // A write has been answered or given up; `done_at`: the version it made.
-  void Settled(const std::string& organisation,
-               std::optional<std::uint64_t> done_at);
+      bool usage_complete);
+  // A write has been answered or granted up; `written_version`: the version it
+  // made.
+  void OnWriteFinished(const std::string& organisation,
+                       std::optional<std::uint64_t> written_version);
 
   // What this shard may use.
   int ShareOf(const std::string& organisation) const;
@@ -68,14 +69,14 @@
   struct Entry {
     QuotaRow row;
     std::uint64_t version = 0;
-    int held = 0;                     // what this shard goes by
-    std::optional<QuotaRow> writing;  // the row on its way
+    int effective_share = 0;                // what this shard goes by
+    std::optional<QuotaRow> pending_write;  // the row on its way
   };
 
-  Entry& At(const std::string& organisation);
+  Entry& EntryFor(const std::string& organisation);
   int OwnShare(const QuotaRow& row) const;
-  void Ask(QuotaRow& row, const scheduler::QuotaNeed& need) const;
-  void Give(QuotaRow& row, const scheduler::QuotaNeed& need) const;
+  void UpdateRequest(QuotaRow& row, const scheduler::QuotaNeed& need) const;
+  void GrantSurplus(QuotaRow& row, const scheduler::QuotaNeed& need) const;
 
   Shard shard;
   std::map<std::string, Entry> entries;
--- a/entry/quota_shares_test.cc
+++ b/entry/quota_shares_test.cc
@@ -17,7 +17,7 @@
 namespace quartzhoist::entry {
 namespace {
 
-constexpr const char* kBees = "bees";
+constexpr const char* kOrganisation = "bees";
 
 // The quota is a thousand tasks, so that a share is a number of tasks. Owners
 // read late, and their writes are lost, late or refused; owners are replaced
@@ -34,20 +34,21 @@
 
   void SetDemand(int shard, int tasks) { this->demand[At(shard)] = tasks; }
   int Used(int shard) const { return this->used[At(shard)]; }
-  int AllUsed() const {
+  int TotalUsed() const {
     return std::accumulate(this->used.begin(), this->used.end(), 0);
   }
 
   // The shard's owner sees the row as it is.
   void Read(int shard) {
     if (this->row)
-      this->owners[At(shard)].shares.Seen(kBees, this->row, this->version);
+      this->owners[At(shard)].shares.OnRowRead(kOrganisation, this->row,
+                                               this->version);
   }
   // Tasks end, others begin within the share.
   void Run(int shard) {
     int& runs = this->used[At(shard)];
     runs = std::min(runs, this->demand[At(shard)]);
-    const int share = this->owners[At(shard)].shares.ShareOf(kBees);
+    const int share = this->owners[At(shard)].shares.ShareOf(kOrganisation);
     runs = std::max(runs, std::min(share, this->demand[At(shard)]));
   }
   void Decide(int shard) {
@@ -55,59 +56,63 @@
     const scheduler::QuotaNeed need{.used = this->used[At(shard)],
                                     .wanted = this->demand[At(shard)]};
     for (QuotaShares::Write& write :
-         owner.shares.Decide({{kBees, need}}, owner.knows_all))
-      this->on_way.push_back({shard, owner.life, std::move(write)});
+         owner.shares.PlanWrites({{kOrganisation, need}}, owner.usage_complete))
+      this->in_flight.push_back({shard, owner.incarnation, std::move(write)});
   }
-  enum class Fate { kAnswered, kUnanswered, kGivenUpFirst, kLost };
+  enum class WriteFate { kAnswered, kUnanswered, kTimedOut, kLost };
   // One write that is on its way arrives, or is given up.
-  void Deliver(std::size_t which, Fate fate) {
-    if (this->on_way.empty())
+  void Deliver(std::size_t which, WriteFate fate) {
+    if (this->in_flight.empty())
       return;
-    const auto at = this->on_way.begin() +
-                    static_cast<std::ptrdiff_t>(which % this->on_way.size());
-    if (fate == Fate::kGivenUpFirst) {
+    const auto at = this->in_flight.begin() +
+                    static_cast<std::ptrdiff_t>(which % this->in_flight.size());
+    if (fate == WriteFate::kTimedOut) {
       this->Settle(*at, std::nullopt);
-      at->is_given_up = true;  // it may still arrive
+      at->timed_out = true;  // it may still arrive
       return;
     }
-    const OnWay sent = *at;
-    this->on_way.erase(at);
-    if (fate == Fate::kLost) {
+    const InFlightWrite sent = *at;
+    this->in_flight.erase(at);
+    if (fate == WriteFate::kLost) {
       this->Settle(sent, std::nullopt);
       return;
     }
-    const bool fits = sent.write.version == this->version &&
-                      sent.life == this->owners[At(sent.shard)].life;
+    const bool fits =
+        sent.write.version == this->version &&
+        sent.incarnation == this->owners[At(sent.shard)].incarnation;
     if (fits) {
       this->row = sent.write.row;
       ++this->version;
     }
-    if (fate == Fate::kUnanswered)
+    if (fate == WriteFate::kUnanswered)
       return;
     this->Settle(sent, fits ? std::optional(this->version) : std::nullopt);
-    if (!fits && !sent.is_given_up)
+    if (!fits && !sent.timed_out)
       this->Read(sent.shard);
   }
   // Another owner: it writes the shard's own row, then reads. What runs it
   // knows in full only later.
   void TakeOver(int shard) {
     Owner& owner = this->owners[At(shard)];
-    const int life = owner.life + 1;
-    owner = {QuotaShares({.number = shard, .count = this->count}), life, false};
+    const int incarnation = owner.incarnation + 1;
+    owner = {QuotaShares({.number = shard, .count = this->count}), incarnation,
+             false};
     this->Read(shard);
   }
-  void Learn(int shard) { this->owners[At(shard)].knows_all = true; }
+  void CompleteUsage(int shard) {
+    this->owners[At(shard)].usage_complete = true;
+  }
 
   // Everything goes well for a while.
-  void Calm() {
+  void RunWithoutFaults() {
     for (int turn = 0; turn < 12; ++turn) {
       for (int shard = 0; shard < this->count; ++shard) {
-        this->Learn(shard);
+        this->CompleteUsage(shard);
         this->Read(shard);
         this->Run(shard);
         this->Decide(shard);
-        while (!this->on_way.empty())
-          this->Deliver(0, Fate::kAnswered);
+        while (!this->in_flight.empty())
+          this->Deliver(0, WriteFate::kAnswered);
       }
     }
   }
@@ -115,21 +120,22 @@
  private:
   struct Owner {
     QuotaShares shares;
-    int life = 0;
-    bool knows_all = true;
+    int incarnation = 0;
+    bool usage_complete = true;
   };
-  struct OnWay {
+  struct InFlightWrite {
     int shard = 0;
-    int life = 0;
+    int incarnation = 0;
     QuotaShares::Write write;
-    bool is_given_up = false;
+    bool timed_out = false;
   };
 
   static std::size_t At(int shard) { return static_cast<std::size_t>(shard); }
-  void Settle(const OnWay& sent, std::optional<std::uint64_t> done_at) {
+  void Settle(const InFlightWrite& sent,
+              std::optional<std::uint64_t> written_version) {
     Owner& owner = this->owners[At(sent.shard)];
-    if (owner.life == sent.life && !sent.is_given_up)
-      owner.shares.Settled(kBees, done_at);
+    if (owner.incarnation == sent.incarnation && !sent.timed_out)
+      owner.shares.OnWriteFinished(kOrganisation, written_version);
   }
 
   int count;
@@ -138,7 +144,7 @@
   std::vector<int> used;
   std::optional<QuotaRow> row;
   std::uint64_t version = 0;
-  std::deque<OnWay> on_way;
+  std::deque<InFlightWrite> in_flight;
 };
 
 BOOST_AUTO_TEST_CASE(SharesAreNeverPassedInSum) {
@@ -156,7 +162,7 @@
           model.TakeOver(shard);
           break;
         case 2:
-          model.Learn(shard);
+          model.CompleteUsage(shard);
           break;
         case 3:
           model.Read(shard);
@@ -169,13 +175,13 @@
           break;
         default:
           model.Deliver(*rc::gen::inRange<std::size_t>(0, 9),
-                        *rc::gen::element(QuotaModel::Fate::kAnswered,
-                                          QuotaModel::Fate::kUnanswered,
-                                          QuotaModel::Fate::kGivenUpFirst,
-                                          QuotaModel::Fate::kLost));
+                        *rc::gen::element(QuotaModel::WriteFate::kAnswered,
+                                          QuotaModel::WriteFate::kUnanswered,
+                                          QuotaModel::WriteFate::kTimedOut,
+                                          QuotaModel::WriteFate::kLost));
           break;
       }
-      RC_ASSERT(model.AllUsed() <= scheduler::kWholeQuota);
+      RC_ASSERT(model.TotalUsed() <= scheduler::kWholeQuota);
     }
   });
   BOOST_TEST(holds);
@@ -193,24 +199,24 @@
       model.Run(shard);
       model.Decide(shard);
       model.Deliver(*rc::gen::inRange<std::size_t>(0, 9),
-                    *rc::gen::element(QuotaModel::Fate::kAnswered,
-                                      QuotaModel::Fate::kGivenUpFirst));
+                    *rc::gen::element(QuotaModel::WriteFate::kAnswered,
+                                      QuotaModel::WriteFate::kTimedOut));
     }
     for (int shard = 0; shard < shards; ++shard)
       model.SetDemand(shard, 0);
     const int busy = *rc::gen::inRange(0, shards);
     model.SetDemand(busy, 1000 - 20 * shards);
-    model.Calm();
+    model.RunWithoutFaults();
     RC_ASSERT(model.Used(busy) == 1000 - 20 * shards);
     // The others come back: each gets an equal share in time.
     for (int shard = 0; shard < shards; ++shard)
       model.SetDemand(shard, 1000);
     model.SetDemand(busy, 0);
-    model.Calm();
+    model.RunWithoutFaults();
     model.SetDemand(busy, 1000);
-    model.Calm();
-    RC_ASSERT(model.AllUsed() <= 1000);
-    RC_ASSERT(model.AllUsed() >= 1000 - 20 * shards);
+    model.RunWithoutFaults();
+    RC_ASSERT(model.TotalUsed() <= 1000);
+    RC_ASSERT(model.TotalUsed() >= 1000 - 20 * shards);
   });
   BOOST_TEST(holds);
 }
@@ -230,10 +236,11 @@
 // A row that another writer has spoilt raises nobody's share.
 BOOST_AUTO_TEST_CASE(RowThatCannotBeReadRaisesNoShare) {
   QuotaShares shares({.number = 0, .count = 2});
-  shares.Seen(kBees, QuotaRow{.shares = {200, 800}, .wants = {0, 0}}, 5);
-  BOOST_TEST(shares.ShareOf(kBees) == 200);
-  shares.Seen(kBees, std::nullopt, 6);
-  BOOST_TEST(shares.ShareOf(kBees) == 200);
+  shares.OnRowRead(kOrganisation,
+                   QuotaRow{.shares = {200, 800}, .wants = {0, 0}}, 5);
+  BOOST_TEST(shares.ShareOf(kOrganisation) == 200);
+  shares.OnRowRead(kOrganisation, std::nullopt, 6);
+  BOOST_TEST(shares.ShareOf(kOrganisation) == 200);
 }
 
 }  // namespace
