--- a/entry/caller_api.cc
+++ b/entry/caller_api.cc
@@ -69,14 +69,15 @@
     for (Submission& submission : queue.again)
       queue.waiting.push_back(std::move(submission));
     for (Submission& submission : queue.waiting) {
-      const int status = submission.uncertain ? kUnknownFate : kUnavailable;
+      const int status =
+          submission.uncertain ? kGatewayTimeout : kServiceUnavailable;
       this->Refuse(submission.exchange, status, submission.job,
                    "this daemon leaves");
     }
     if (!queue.sent)
       continue;
     for (Submission& submission : *queue.sent) {
-      this->Refuse(submission.exchange, kUnknownFate, submission.job,
+      this->Refuse(submission.exchange, kGatewayTimeout, submission.job,
                    "this daemon leaves; the write had no answer yet");
     }
   }
@@ -95,12 +96,13 @@
                        std::string_view reason) const {
   http::Response response =
       http::JsonResponse(status, platform::ProblemBody(reason));
-  if (status == kUnavailable)
+  if (status == kServiceUnavailable)
     response.headers.push_back({.name = "Retry-After", .value = "1"});
-  if (status == kNoKey)
+  if (status == kUnauthorized)
     response.headers.push_back({.name = "WWW-Authenticate", .value = "Token"});
-  this->counters.Add(status == kUnknownFate ? base::Counter::kRefusedMayHaveRun
-                                            : base::Counter::kRefusedNotRun);
+  this->counters.Add(status == kGatewayTimeout
+                         ? base::Counter::kRefusedMayHaveRun
+                         : base::Counter::kRefusedNotRun);
   base::Log(base::Event::kJobRefused,
             {{"job", job}, {"status", status}, {"reason", reason}});
   this->Reply(exchange, std::move(response));
@@ -109,12 +111,12 @@
 void CallerApi::Handle(const http::ExchangePtr& exchange) {
   this->counters.Add(base::Counter::kRequests);
   if (!this->config || this->shards == 0) {
-    this->Refuse(exchange, kUnavailable, "", "no configuration yet");
+    this->Refuse(exchange, kServiceUnavailable, "", "no configuration yet");
     return;
   }
   // What is known to fail is not tried: feeds find out when the store is back.
   if (this->store.SeemsAway()) {
-    this->Refuse(exchange, kUnavailable, "", "the store is away");
+    this->Refuse(exchange, kServiceUnavailable, "", "the store is away");
     return;
   }
   // A view that the feed has not renewed for half of the time in which a change
@@ -157,7 +159,7 @@
     if (result)
       this->Dispatch(exchange, ConfigView::kAsked);
     else
-      this->Refuse(exchange, kUnavailable, "",
+      this->Refuse(exchange, kServiceUnavailable, "",
                    "it is not known which configuration is in force");
   }
 }
@@ -179,11 +181,11 @@
     return;
   }
   if (!queue) {
-    this->Refuse(exchange, kNoQueue, "", "there is no such queue");
+    this->Refuse(exchange, kNotFound, "", "there is no such queue");
     return;
   }
   if (!organisation) {
-    this->Refuse(exchange, kNoKey, "", "the access key is not known");
+    this->Refuse(exchange, kUnauthorized, "", "the access key is not known");
     return;
   }
   // 3. The queue itself, or one of its jobs.
@@ -203,7 +205,7 @@
   else if (request.method == "DELETE")
     this->Cancel(exchange, job);
   else
-    this->Refuse(exchange, kNoMethod, job, "POST, GET or DELETE");
+    this->Refuse(exchange, kMethodNotAllowed, job, "POST, GET or DELETE");
 }
 
 // --- Asking, cancelling, counting ---
@@ -220,17 +222,19 @@
   this->store.Read(query, [this, exchange, job, found = std::move(found)](
                               std::optional<platform::ReadResult> result) {
     if (!result) {
-      this->Refuse(exchange, kUnavailable, job, "the store does not answer");
+      this->Refuse(exchange, kServiceUnavailable, job,
+                   "the store does not answer");
       return;
     }
     if (result->rows.empty() || result->rows.front().at.key != job) {
-      this->Refuse(exchange, kNoJob, job, "there is no such job");
+      this->Refuse(exchange, kGone, job, "there is no such job");
       return;
     }
     const auto kept = DecodeKept(result->rows.front().value);
     if (!kept) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
-      this->Refuse(exchange, kUnavailable, job, "its state cannot be read");
+      this->Refuse(exchange, kServiceUnavailable, job,
+                   "its state cannot be read");
       return;
     }
     found(*kept);
@@ -244,7 +248,8 @@
         const auto progress = jobs::DecodeProgress(kept.text);
         if (!progress) {
           base::Log(base::Event::kRowMalformed, {{"row", job}});
-          this->Refuse(exchange, kUnavailable, job, "its state cannot be read");
+          this->Refuse(exchange, kServiceUnavailable, job,
+                       "its state cannot be read");
           return;
         }
         this->Reply(exchange, http::JsonResponse(
@@ -284,10 +289,10 @@
     if (next.tries > 0)
       this->WriteCancel(next);
     else if (next.uncertain)
-      this->Refuse(cancel.exchange, kUnknownFate, cancel.job,
+      this->Refuse(cancel.exchange, kGatewayTimeout, cancel.job,
                    "it is not known whether the job is cancelled: ask again");
     else
-      this->Refuse(cancel.exchange, kUnavailable, cancel.job,
+      this->Refuse(cancel.exchange, kServiceUnavailable, cancel.job,
                    "the store does not take writes now");
   });
 }
@@ -299,7 +304,8 @@
       [this, exchange,
        queue](const std::optional<platform::TableContent>& content) {
         if (!content) {
-          this->Refuse(exchange, kUnavailable, "", "the store does not answer");
+          this->Refuse(exchange, kServiceUnavailable, "",
+                       "the store does not answer");
           return;
         }
         // A queue that is new has no count yet.
--- a/entry/caller_status.h
+++ b/entry/caller_status.h
@@ -7,13 +7,13 @@
 
 inline constexpr int kOk = 200;
 inline constexpr int kBadRequest = 400;
-inline constexpr int kNoKey = 401;
-inline constexpr int kNoQueue = 404;
-inline constexpr int kNoMethod = 405;
-inline constexpr int kNoJob = 410;
-inline constexpr int kTooLarge = 413;
-inline constexpr int kUnavailable = 503;  // nothing was done
-inline constexpr int kUnknownFate = 504;  // it may have been done
+inline constexpr int kUnauthorized = 401;
+inline constexpr int kNotFound = 404;
+inline constexpr int kMethodNotAllowed = 405;
+inline constexpr int kGone = 410;
+inline constexpr int kPayloadTooLarge = 413;
+inline constexpr int kServiceUnavailable = 503;  // nothing was done
+inline constexpr int kGatewayTimeout = 504;      // it may have been done
 
 }  // namespace quartzhoist::entry
 
--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -41,14 +41,14 @@
                        const std::string& job) {
   const http::Request& request = exchange->request();
   if (request.body.size() > this->config->max_body) {
-    this->Refuse(exchange, kTooLarge, job, "the body is too large");
+    this->Refuse(exchange, kPayloadTooLarge, job, "the body is too large");
     return;
   }
   Submission submission;
   try {
     const jobs::JobSpec spec = platform::ParseJob(request.body);
     if (IsAboveQuota(*this->config, organisation, spec)) {
-      this->Refuse(exchange, kTooLarge, job,
+      this->Refuse(exchange, kPayloadTooLarge, job,
                    "a gang needs more than its organisation may have running");
       return;
     }
@@ -75,7 +75,8 @@
       now + platform::CallerPatience(request.headers) - kAnswerMargin;
   if (platform::Base64Length(submission.row.size()) >
       this->store.deployment().row_bytes) {
-    this->Refuse(exchange, kTooLarge, job, "the job is too large for a row");
+    this->Refuse(exchange, kPayloadTooLarge, job,
+                 "the job is too large for a row");
     return;
   }
   const std::string part = ProgressRow(job).part;
@@ -161,7 +162,7 @@
     const bool refused =
         for_good || result.outcome == platform::WriteOutcome::kNotDone;
     if (refused && !submission.uncertain) {
-      this->Refuse(submission.exchange, kUnavailable, submission.job,
+      this->Refuse(submission.exchange, kServiceUnavailable, submission.job,
                    "the store does not take writes now");
       continue;
     }
@@ -178,7 +179,7 @@
   const bool too_late =
       base::MonotonicNow() + this->write_again > submission.deadline;
   if (too_late || this->store.SeemsAway()) {
-    this->Refuse(submission.exchange, kUnknownFate, submission.job,
+    this->Refuse(submission.exchange, kGatewayTimeout, submission.job,
                  "it is not known whether the job was taken: ask again");
     return;
   }
