--- a/entry/caller_api.cc
+++ b/entry/caller_api.cc
@@ -174,7 +174,8 @@
       this->config->Route(host ? WithoutPort(*host) : "", path);
   // 2. The caller, by its key.
   const std::optional<std::string> organisation =
-      queue ? CallerOf(*this->config, *queue, request.headers) : std::nullopt;
+      queue ? AuthenticateCaller(*this->config, *queue, request.headers)
+            : std::nullopt;
   const base::Micros age = base::MonotonicNow() - this->config_seen;
   if (!organisation && view == ConfigView::kFollowed && age > kFreshView) {
     this->AskForConfig(exchange);
--- a/entry/caller_rights.cc
+++ b/entry/caller_rights.cc
@@ -10,29 +10,31 @@
 
 namespace {
 
-bool IsAbove(std::int64_t each, std::int64_t tasks, std::int64_t most) {
-  return most > 0 && each * tasks > most;
+bool ExceedsLimit(std::int64_t per_task,
+                  std::int64_t tasks,
+                  std::int64_t limit) {
+  return limit > 0 && per_task * tasks > limit;
 }
 
 }  // namespace
 
-std::optional<std::string> CallerOf(const jobs::Config& config,
-                                    const jobs::Queue& queue,
-                                    const http::Headers& headers) {
+std::optional<std::string> AuthenticateCaller(const jobs::Config& config,
+                                              const jobs::Queue& queue,
+                                              const http::Headers& headers) {
   const std::optional<std::string_view> key = platform::CallerKey(headers);
-  const jobs::Organisation* holder =
+  const jobs::Organisation* key_owner =
       key ? config.HolderOf(jobs::DigestOf(*key)) : nullptr;
-  if (holder)
-    return holder->name;
-  const bool needs_none = queue.open || !config.asks_for_keys;
-  return needs_none ? std::optional<std::string>("") : std::nullopt;
+  if (key_owner)
+    return key_owner->name;
+  const bool key_optional = queue.open || !config.asks_for_keys;
+  return key_optional ? std::optional<std::string>("") : std::nullopt;
 }
 
 // The tasks of a gang run together or not at all: one that is larger than the
 // quota can never run.
-bool IsAboveQuota(const jobs::Config& config,
-                  const std::string& organisation,
-                  const jobs::JobSpec& spec) {
+bool GangExceedsQuota(const jobs::Config& config,
+                      const std::string& organisation,
+                      const jobs::JobSpec& spec) {
   const jobs::Organisation* caller = config.FindOrganisation(organisation);
   if (!caller)
     return false;
@@ -40,9 +42,11 @@
   return std::any_of(
       spec.steps.begin(), spec.steps.end(), [&quota](const jobs::Step& step) {
         return step.gang &&
-               (IsAbove(step.each.cpu_millis, step.tasks, quota.cpu_millis) ||
-                IsAbove(step.each.memory_mb, step.tasks, quota.memory_mb) ||
-                IsAbove(step.each.gpus, step.tasks, quota.gpus));
+               (ExceedsLimit(step.each.cpu_millis, step.tasks,
+                             quota.cpu_millis) ||
+                ExceedsLimit(step.each.memory_mb, step.tasks,
+                             quota.memory_mb) ||
+                ExceedsLimit(step.each.gpus, step.tasks, quota.gpus));
       });
 }
 
--- a/entry/caller_rights.h
+++ b/entry/caller_rights.h
@@ -15,14 +15,14 @@
 // The caller's organisation; empty where none is asked for and none named.
 // Nothing if the queue asks for a key that the configuration knows, and none
 // came.
-std::optional<std::string> CallerOf(const jobs::Config& config,
-                                    const jobs::Queue& queue,
-                                    const http::Headers& headers);
+std::optional<std::string> AuthenticateCaller(const jobs::Config& config,
+                                              const jobs::Queue& queue,
+                                              const http::Headers& headers);
 
 // Does the job hold a gang that needs more than the organisation's quota?
-bool IsAboveQuota(const jobs::Config& config,
-                  const std::string& organisation,
-                  const jobs::JobSpec& spec);
+bool GangExceedsQuota(const jobs::Config& config,
+                      const std::string& organisation,
+                      const jobs::JobSpec& spec);
 
 }  // namespace quartzhoist::entry
 
--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -47,7 +47,7 @@
   Submission submission;
   try {
     const jobs::JobSpec spec = platform::ParseJob(request.body);
-    if (IsAboveQuota(*this->config, organisation, spec)) {
+    if (GangExceedsQuota(*this->config, organisation, spec)) {
       this->Refuse(exchange, kPayloadTooLarge, job,
                    "a gang needs more than its organisation may have running");
       return;
