--- a/entry/caller_api.cc
+++ b/entry/caller_api.cc
@@ -17,13 +17,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kCancelTries = 3;
+constexpr int kCancelAttempts = 3;
 // A queue or a key is called unknown by a view that is at most so old; else the
-// store is asked, some ms. Bounds what a flood of such requests costs: four
+// store is sent_at, some ms. Bounds what a flood of such requests costs: four
 // reads a second.
-constexpr base::Micros kFreshView = milliseconds(250);
+constexpr base::Micros kMaxConfigAge = milliseconds(250);
 
-std::string_view WithoutPort(std::string_view host) {
+std::string_view StripPort(std::string_view host) {
   return host.substr(0, host.find(':'));
 }
 
@@ -37,18 +37,19 @@
 
 }  // namespace
 
-CallerApi::CallerApi(base::Loop& loop,
-                     platform::Store& on,
-                     base::Counters& count,
-                     std::function<void(const platform::Row& row)> on_row)
-    : store(on),
-      counters(count),
-      on_config_row(std::move(on_row)),
-      retry(loop, [this] { this->WriteAgain(); }) {}
+CallerApi::CallerApi(
+    base::Loop& loop,
+    platform::Store& store,
+    base::Counters& counters,
+    std::function<void(const platform::Row& row)> on_config_row)
+    : store(store),
+      counters(counters),
+      on_config_row(std::move(on_config_row)),
+      retry_timer(loop, [this] { this->RetryWrites(); }) {}
 
 void CallerApi::SetConfig(const jobs::Config& next) {
   this->config = next;
-  this->ConfigSeen(base::MonotonicNow());
+  this->OnConfigConfirmed(base::MonotonicNow());
 }
 
 void CallerApi::SetShards(int count, ChooseShard choose) {
@@ -56,27 +57,27 @@
   this->choose_shard = std::move(choose);
 }
 
-void CallerApi::ConfigSeen(base::Micros seen) {
-  this->config_seen = std::max(this->config_seen, seen);
+void CallerApi::OnConfigConfirmed(base::Micros time) {
+  this->config_confirmed = std::max(this->config_confirmed, time);
 }
 
-void CallerApi::Stop() {
+void CallerApi::BeginShutdown() {
   this->stopping = true;
 }
 
-void CallerApi::End() {
+void CallerApi::Shutdown() {
   for (auto& [part, queue] : this->parts) {
-    for (Submission& submission : queue.again)
+    for (Submission& submission : queue.to_retry)
       queue.waiting.push_back(std::move(submission));
     for (Submission& submission : queue.waiting) {
       const int status =
-          submission.uncertain ? kGatewayTimeout : kServiceUnavailable;
+          submission.may_be_written ? kGatewayTimeout : kServiceUnavailable;
       this->Refuse(submission.exchange, status, submission.job,
                    "this daemon leaves");
     }
-    if (!queue.sent)
+    if (!queue.in_flight)
       continue;
-    for (Submission& submission : *queue.sent) {
+    for (Submission& submission : *queue.in_flight) {
       this->Refuse(submission.exchange, kGatewayTimeout, submission.job,
                    "this daemon leaves; the write had no answer yet");
     }
@@ -121,17 +122,17 @@
   }
   // A view that the feed has not renewed for half of the time in which a change
   // must be in force may be a dropped queue's, or lack a new one.
-  const base::Micros age = base::MonotonicNow() - this->config_seen;
+  const base::Micros age = base::MonotonicNow() - this->config_confirmed;
   if (age > this->store.deployment().config_in_force / 2)
-    this->AskForConfig(exchange);
+    this->ReadConfig(exchange);
   else
-    this->Dispatch(exchange, ConfigView::kFollowed);
+    this->Dispatch(exchange, ConfigSource::kFeed);
 }
 
-// Requests that come while the store is asked share its answer.
-void CallerApi::AskForConfig(const http::ExchangePtr& exchange) {
-  this->asking.push_back(exchange);
-  if (this->asking.size() > 1)
+// Requests that come while the store is sent_at share its answer.
+void CallerApi::ReadConfig(const http::ExchangePtr& exchange) {
+  this->awaiting_config.push_back(exchange);
+  if (this->awaiting_config.size() > 1)
     return;
   const platform::ReadQuery query{
       .table = std::string(platform::kOperatorTable),
@@ -140,45 +141,48 @@
       .to = {},
       .limit = 1,
       .fresh_connection = true};
-  const base::Micros asked = base::MonotonicNow();
+  const base::Micros sent_at = base::MonotonicNow();
   this->store.Read(
-      query, [this, asked](const std::optional<platform::ReadResult>& result) {
-        this->TakeConfigRow(result, asked);
+      query,
+      [this, sent_at](const std::optional<platform::ReadResult>& result) {
+        this->OnConfigRead(result, sent_at);
       });
 }
 
-void CallerApi::TakeConfigRow(const std::optional<platform::ReadResult>& result,
-                              base::Micros asked) {
-  const bool is_there = result && !result->rows.empty() &&
-                        result->rows.front().at.key == platform::kConfigKey;
-  if (is_there)
+void CallerApi::OnConfigRead(const std::optional<platform::ReadResult>& result,
+                             base::Micros sent_at) {
+  const bool row_found = result && !result->rows.empty() &&
+                         result->rows.front().at.key == platform::kConfigKey;
+  if (row_found)
     this->on_config_row(result->rows.front());
   if (result)
-    this->ConfigSeen(asked);
-  for (const http::ExchangePtr& exchange : std::exchange(this->asking, {})) {
+    this->OnConfigConfirmed(sent_at);
+  for (const http::ExchangePtr& exchange :
+       std::exchange(this->awaiting_config, {})) {
     if (result)
-      this->Dispatch(exchange, ConfigView::kAsked);
+      this->Dispatch(exchange, ConfigSource::kStoreRead);
     else
       this->Refuse(exchange, kServiceUnavailable, "",
                    "it is not known which configuration is in force");
   }
 }
 
-void CallerApi::Dispatch(const http::ExchangePtr& exchange, ConfigView view) {
+void CallerApi::Dispatch(const http::ExchangePtr& exchange,
+                         ConfigSource source) {
   const http::Request& request = exchange->request();
   // 1. The queue, by host and path.
   const std::string_view path =
       std::string_view(request.path).substr(0, request.path.find('?'));
   const std::string* host = http::FindHeader(request.headers, "Host");
   const jobs::Queue* queue =
-      this->config->Route(host ? WithoutPort(*host) : "", path);
+      this->config->Route(host ? StripPort(*host) : "", path);
   // 2. The caller, by its key.
   const std::optional<std::string> organisation =
       queue ? AuthenticateCaller(*this->config, *queue, request.headers)
             : std::nullopt;
-  const base::Micros age = base::MonotonicNow() - this->config_seen;
-  if (!organisation && view == ConfigView::kFollowed && age > kFreshView) {
-    this->AskForConfig(exchange);
+  const base::Micros age = base::MonotonicNow() - this->config_confirmed;
+  if (!organisation && source == ConfigSource::kFeed && age > kMaxConfigAge) {
+    this->ReadConfig(exchange);
     return;
   }
   if (!queue) {
@@ -216,11 +220,11 @@
 void CallerApi::ReadProgress(
     const http::ExchangePtr& exchange,
     const std::string& job,
-    std::function<void(const KeptProgress& kept)> found) {
+    std::function<void(const KeptProgress& stored)> on_found) {
   const platform::RowKey at = ProgressRow(job);
   const platform::ReadQuery query{
       .table = at.table, .part = at.part, .from = job, .to = {}, .limit = 1};
-  this->store.Read(query, [this, exchange, job, found = std::move(found)](
+  this->store.Read(query, [this, exchange, job, on_found = std::move(on_found)](
                               std::optional<platform::ReadResult> result) {
     if (!result) {
       this->Refuse(exchange, kServiceUnavailable, job,
@@ -231,22 +235,22 @@
       this->Refuse(exchange, kGone, job, "there is no such job");
       return;
     }
-    const auto kept = DecodeKept(result->rows.front().value);
-    if (!kept) {
+    const auto stored = DecodeKept(result->rows.front().value);
+    if (!stored) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
       this->Refuse(exchange, kServiceUnavailable, job,
                    "its state cannot be read");
       return;
     }
-    found(*kept);
+    on_found(*stored);
   });
 }
 
 void CallerApi::AnswerState(const http::ExchangePtr& exchange,
                             const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& kept) {
-        const auto progress = jobs::DecodeProgress(kept.text);
+      exchange, job, [this, exchange, job](const KeptProgress& stored) {
+        const auto progress = jobs::DecodeProgress(stored.text);
         if (!progress) {
           base::Log(base::Event::kRowMalformed, {{"row", job}});
           this->Refuse(exchange, kServiceUnavailable, job,
@@ -261,12 +265,12 @@
 void CallerApi::Cancel(const http::ExchangePtr& exchange,
                        const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& kept) {
-        const Shard shard{.number = kept.shard, .count = this->shards};
+      exchange, job, [this, exchange, job](const KeptProgress& stored) {
+        const Shard shard{.number = stored.shard, .count = this->shards};
         this->WriteCancel({.exchange = exchange,
                            .job = job,
                            .shard = shard,
-                           .tries = kCancelTries});
+                           .tries_left = kCancelAttempts});
       });
 }
 
@@ -284,12 +288,12 @@
       return;
     }
     Cancellation next = cancel;
-    --next.tries;
+    --next.tries_left;
     if (result.outcome == platform::WriteOutcome::kUnknown)
-      next.uncertain = true;
-    if (next.tries > 0)
+      next.may_be_written = true;
+    if (next.tries_left > 0)
       this->WriteCancel(next);
-    else if (next.uncertain)
+    else if (next.may_be_written)
       this->Refuse(cancel.exchange, kGatewayTimeout, cancel.job,
                    "it is not known whether the job is cancelled: ask again");
     else
--- a/entry/caller_api.h
+++ b/entry/caller_api.h
@@ -39,13 +39,13 @@
       int(const jobs::Config&, const jobs::Queue&, const jobs::JobSpec&)>;
   void SetShards(int count, ChooseShard choose);
   // The store has said that the configuration is the newest as of `seen`.
-  void ConfigSeen(base::Micros seen);
+  void OnConfigConfirmed(base::Micros time);
   // From now on answers end their connections: the process is to stop.
-  void Stop();
+  void BeginShutdown();
   void Handle(const http::ExchangePtr& exchange);
   // The process ends now: whoever still waits for a job to be taken is told
   // whether that may yet happen.
-  void End();
+  void Shutdown();
 
  private:
   // A job that waits to be written.
@@ -56,45 +56,46 @@
     Shard shard;
     base::Micros arrived{};
     base::Micros deadline{};
-    bool uncertain = false;  // an earlier try may have been written
-    bool alone = false;      // the write that it shared was refused
+    bool may_be_written = false;  // an earlier try may have been written
+    bool write_alone = false;     // the write that it shared was refused
   };
   struct Cancellation {
     http::ExchangePtr exchange;
     std::string job;
     Shard shard;
-    int tries = 0;           // that are left
-    bool uncertain = false;  // an earlier try may have been written
+    int tries_left = 0;           // that are left
+    bool may_be_written = false;  // an earlier try may have been written
   };
   struct PartQueue {
     std::deque<Submission> waiting;
-    std::deque<Submission> again;  // whose fate is open, until the next try
-    std::shared_ptr<std::vector<Submission>> sent;  // whose write is on its way
+    std::deque<Submission> to_retry;  // whose fate is open, until the next try
+    std::shared_ptr<std::vector<Submission>>
+        in_flight;  // whose write is on its way
   };
 
-  enum class ConfigView { kFollowed, kAsked };
+  enum class ConfigSource { kFeed, kStoreRead };
 
   // A write whose fate is open is tried again after this, doubled with each
   // failure in a row.
-  static constexpr base::Micros kWriteAgain{60'000};
+  static constexpr base::Micros kWriteRetryDelay{60'000};
 
-  void Dispatch(const http::ExchangePtr& exchange, ConfigView view);
-  void AskForConfig(const http::ExchangePtr& exchange);
-  void TakeConfigRow(const std::optional<platform::ReadResult>& result,
-                     base::Micros asked);
+  void Dispatch(const http::ExchangePtr& exchange, ConfigSource source);
+  void ReadConfig(const http::ExchangePtr& exchange);
+  void OnConfigRead(const std::optional<platform::ReadResult>& result,
+                    base::Micros sent_at);
   void Submit(const http::ExchangePtr& exchange,
               const jobs::Queue& queue,
               const std::string& organisation,
               const std::string& job);
   void WritePart(const std::string& part);
-  void TakeWritten(const std::string& part,
-                   std::vector<Submission> batch,
-                   const platform::WriteResult& result);
-  void Again(const std::string& part, Submission submission);
-  void WriteAgain();
+  void OnWriteResult(const std::string& part,
+                     std::vector<Submission> batch,
+                     const platform::WriteResult& result);
+  void ScheduleRetry(const std::string& part, Submission submission);
+  void RetryWrites();
   void ReadProgress(const http::ExchangePtr& exchange,
                     const std::string& job,
-                    std::function<void(const KeptProgress& kept)> found);
+                    std::function<void(const KeptProgress& stored)> on_found);
   void AnswerState(const http::ExchangePtr& exchange, const std::string& job);
   void Cancel(const http::ExchangePtr& exchange, const std::string& job);
   void WriteCancel(const Cancellation& cancel);
@@ -111,12 +112,12 @@
   std::optional<jobs::Config> config;
   int shards = 0;  // 0: not known yet
   ChooseShard choose_shard;
-  base::Micros config_seen{};
+  base::Micros config_confirmed{};
   // Requests that wait for the store's configuration.
-  std::vector<http::ExchangePtr> asking;
+  std::vector<http::ExchangePtr> awaiting_config;
   std::map<std::string, PartQueue> parts;
-  base::Micros write_again = kWriteAgain;  // until the next try
-  base::Timer retry;
+  base::Micros write_retry_delay = kWriteRetryDelay;  // until the next try
+  base::Timer retry_timer;
   bool stopping = false;
 };
 
--- a/entry/caller_api_test.cc
+++ b/entry/caller_api_test.cc
@@ -193,7 +193,7 @@
        .body = kBody},
       [&](const http::ClientResult& got) { status = got.response.status; });
   bench.Until([&] { return bench.server.open_exchanges() == 1; });
-  bench.api.End();
+  bench.api.Shutdown();
   bench.Until([&] { return status.has_value(); });
   BOOST_TEST(*status == 504);
 }
--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -21,11 +21,11 @@
 using std::chrono::milliseconds;
 
 // A write takes a condition and two rows for each job.
-constexpr std::size_t kEntriesAJob = 3;
+constexpr std::size_t kEntriesPerJob = 3;
 // The longest wait for the next try of a write whose fate is open.
-constexpr base::Micros kWriteAgainMost = milliseconds(480);
+constexpr base::Micros kMaxWriteRetryDelay = milliseconds(480);
 // An answer is to leave this long before the caller gives up.
-constexpr base::Micros kAnswerMargin = milliseconds(150);
+constexpr base::Micros kReplyMargin = milliseconds(150);
 
 std::int64_t NowMillis() {
   return std::chrono::duration_cast<milliseconds>(
@@ -54,10 +54,11 @@
     }
     const jobs::Organisation* caller =
         this->config->FindOrganisation(organisation);
-    const std::optional<int> home =
+    const std::optional<int> home_shard =
         caller ? HomeShard(*caller, spec, this->shards) : std::nullopt;
-    const int chosen =
-        home ? *home : this->choose_shard(*this->config, queue, spec);
+    const int chosen = home_shard
+                           ? *home_shard
+                           : this->choose_shard(*this->config, queue, spec);
     submission.shard = {.number = chosen, .count = this->shards};
   } catch (const platform::BadInput& problem) {
     this->Refuse(exchange, kBadRequest, job, problem.what());
@@ -72,7 +73,7 @@
                                    .body = request.body});
   submission.arrived = now;
   submission.deadline =
-      now + platform::CallerPatience(request.headers) - kAnswerMargin;
+      now + platform::CallerPatience(request.headers) - kReplyMargin;
   if (platform::Base64Length(submission.row.size()) >
       this->store.deployment().row_bytes) {
     this->Refuse(exchange, kPayloadTooLarge, job,
@@ -87,25 +88,25 @@
 // Jobs that come while a write is on its way share the next one.
 void CallerApi::WritePart(const std::string& part) {
   PartQueue& queue = this->parts[part];
-  if (queue.sent || queue.waiting.empty())
+  if (queue.in_flight || queue.waiting.empty())
     return;
   std::vector<Submission> batch;
-  std::set<std::string> taken;
-  std::vector<Submission> later;
+  std::set<std::string> batch_jobs;
+  std::vector<Submission> duplicates;
   platform::WriteBatch write;
-  platform::BatchRoom room(false);
+  platform::BatchRoom batch_room(false);
   const std::string queued = jobs::EncodeProgress({});
   while (!queue.waiting.empty()) {
     Submission& front = queue.waiting.front();
-    const bool must_part = front.alone && !batch.empty();
-    if (must_part || !room.Take(part, kEntriesAJob, front.row.size()))
+    const bool must_wait = front.write_alone && !batch.empty();
+    if (must_wait || !batch_room.Take(part, kEntriesPerJob, front.row.size()))
       break;
-    const bool alone = front.alone;
+    const bool write_alone = front.write_alone;
     Submission next = std::move(front);
     queue.waiting.pop_front();
     // The same job twice: the second finds the row of the first.
-    if (!taken.insert(next.job).second) {
-      later.push_back(std::move(next));
+    if (!batch_jobs.insert(next.job).second) {
+      duplicates.push_back(std::move(next));
       continue;
     }
     // Its progress stands after the job is over, when its own row is gone.
@@ -116,80 +117,82 @@
         {.at = ProgressRow(next.job),
          .value = EncodeKept({.shard = next.shard.number, .text = queued})});
     batch.push_back(std::move(next));
-    if (alone)
+    if (write_alone)
       break;
   }
-  for (Submission& submission : later)
+  for (Submission& submission : duplicates)
     queue.waiting.push_front(std::move(submission));
-  auto sent = std::make_shared<std::vector<Submission>>(std::move(batch));
-  queue.sent = sent;
-  this->store.Write(write,
-                    [this, part, sent](const platform::WriteResult& result) {
-                      this->parts[part].sent.reset();
-                      this->TakeWritten(part, std::move(*sent), result);
-                      this->WritePart(part);
-                    });
+  auto in_flight = std::make_shared<std::vector<Submission>>(std::move(batch));
+  queue.in_flight = in_flight;
+  this->store.Write(
+      write, [this, part, in_flight](const platform::WriteResult& result) {
+        this->parts[part].in_flight.reset();
+        this->OnWriteResult(part, std::move(*in_flight), result);
+        this->WritePart(part);
+      });
 }
 
-void CallerApi::TakeWritten(const std::string& part,
-                            std::vector<Submission> batch,
-                            const platform::WriteResult& result) {
-  std::set<std::string> there;
+void CallerApi::OnWriteResult(const std::string& part,
+                              std::vector<Submission> batch,
+                              const platform::WriteResult& result) {
+  std::set<std::string> stored_jobs;
   for (const platform::Row& row : result.rows) {
     if (row.version > 0)
-      there.insert(row.at.key);
+      stored_jobs.insert(row.at.key);
   }
   for (Submission& submission : batch) {
     const bool written = result.outcome == platform::WriteOutcome::kDone;
-    const bool known = result.outcome == platform::WriteOutcome::kConflict &&
-                       there.contains(submission.job);
-    if (written || known) {
+    const bool already_stored =
+        result.outcome == platform::WriteOutcome::kConflict &&
+        stored_jobs.contains(submission.job);
+    if (written || already_stored) {
       this->counters.Add(base::Counter::kAnswered);
       base::Log(base::Event::kJobAccepted,
-                {{"job", submission.job}, {"again", known}});
+                {{"job", submission.job}, {"again", already_stored}});
       this->Reply(submission.exchange, http::JsonResponse(kOk, "{}"));
       continue;
     }
     if (result.outcome == platform::WriteOutcome::kUnknown)
-      submission.uncertain = true;
+      submission.may_be_written = true;
     // Another job of the write may be what the store does not take.
-    const bool for_good = result.outcome == platform::WriteOutcome::kRefused;
-    if (for_good && batch.size() > 1) {
-      submission.alone = true;
+    const bool permanent = result.outcome == platform::WriteOutcome::kRefused;
+    if (permanent && batch.size() > 1) {
+      submission.write_alone = true;
       this->parts[part].waiting.push_back(std::move(submission));
       continue;
     }
     const bool refused =
-        for_good || result.outcome == platform::WriteOutcome::kNotDone;
-    if (refused && !submission.uncertain) {
+        permanent || result.outcome == platform::WriteOutcome::kNotDone;
+    if (refused && !submission.may_be_written) {
       this->Refuse(submission.exchange, kServiceUnavailable, submission.job,
                    "the store does not take writes now");
       continue;
     }
-    this->Again(part, std::move(submission));
+    this->ScheduleRetry(part, std::move(submission));
   }
   const bool unknown = result.outcome == platform::WriteOutcome::kUnknown;
-  this->write_again =
-      unknown ? std::min(2 * this->write_again, kWriteAgainMost) : kWriteAgain;
+  this->write_retry_delay =
+      unknown ? std::min(2 * this->write_retry_delay, kMaxWriteRetryDelay)
+              : kWriteRetryDelay;
 }
 
 // A caller whose job this daemon cannot write soon is told at once: its next
 // try reaches another daemon, which may.
-void CallerApi::Again(const std::string& part, Submission submission) {
-  const bool too_late =
-      base::MonotonicNow() + this->write_again > submission.deadline;
-  if (too_late || this->store.SeemsAway()) {
+void CallerApi::ScheduleRetry(const std::string& part, Submission submission) {
+  const bool past_deadline =
+      base::MonotonicNow() + this->write_retry_delay > submission.deadline;
+  if (past_deadline || this->store.SeemsAway()) {
     this->Refuse(submission.exchange, kGatewayTimeout, submission.job,
                  "it is not known whether the job was taken: ask again");
     return;
   }
-  this->parts[part].again.push_back(std::move(submission));
-  this->retry.StartOnce(this->write_again);
+  this->parts[part].to_retry.push_back(std::move(submission));
+  this->retry_timer.StartOnce(this->write_retry_delay);
 }
 
-void CallerApi::WriteAgain() {
+void CallerApi::RetryWrites() {
   for (auto& [part, queue] : this->parts) {
-    for (Submission& submission : std::exchange(queue.again, {}))
+    for (Submission& submission : std::exchange(queue.to_retry, {}))
       queue.waiting.push_back(std::move(submission));
     this->WritePart(part);
   }
--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -124,7 +124,7 @@
               },
           .on_contact =
               [this](base::Micros) {
-                this->callers.ConfigSeen(base::MonotonicNow());
+                this->callers.OnConfigConfirmed(base::MonotonicNow());
               },
           .on_lost = [] {}},
       platform::TableFollower::Pace{.wait = chosen.deployment.config_in_force /
@@ -321,7 +321,7 @@
     return;
   this->stop_asked = base::MonotonicNow();
   base::Log(base::Event::kDaemonStopping, {});
-  this->callers.Stop();
+  this->callers.BeginShutdown();
   if (this->ownerships)
     this->ownerships->Release();
   this->stop_timer.StartEvery(kStopTick);
@@ -334,7 +334,7 @@
   const bool over = since > this->settings.grace - kLeaveBeforeKill;
   if (!quiet && !over)
     return;
-  this->callers.End();
+  this->callers.Shutdown();
   this->loop.Stop();
 }
 
