--- a/entry/caller_api_test.cc
+++ b/entry/caller_api_test.cc
@@ -61,7 +61,7 @@
   }
 
   // Nothing follows the operators' table here.
-  void WaitUntilTheViewIsOld() {
+  void WaitUntilConfigIsStale() {
     const base::Micros until =
         base::MonotonicNow() + platform::Deployment{}.config_in_force;
     this->Until([until] { return base::MonotonicNow() > until; });
@@ -79,30 +79,31 @@
                       }};
 };
 
-constexpr const char* kJob = "/p/5c0e7a21d94b36f8";
-constexpr const char* kId = "5c0e7a21d94b36f8";
+constexpr const char* kJobPath = "/p/5c0e7a21d94b36f8";
+constexpr const char* kJobId = "5c0e7a21d94b36f8";
 constexpr const char* kBody = R"({"spec":"t","steps":[{"count":2}]})";
 
-BOOST_AUTO_TEST_CASE(AcceptedJobIsKeptOnce) {
+BOOST_AUTO_TEST_CASE(JobSubmittedTwiceIsStoredOnce) {
   CallerBench bench;
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).size() == 1U);
-  BOOST_TEST(bench.Call("GET", kJob).body.find("queued") != std::string::npos);
+  BOOST_TEST(bench.Call("GET", kJobPath).body.find("queued") !=
+             std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(JobWhoseWriteGotNoAnswerIsAccepted) {
+BOOST_AUTO_TEST_CASE(JobIsAcceptedWhenTheAnswerToItsWriteIsLost) {
   CallerBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
   // The write is tried again under its condition and finds itself.
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(RefusalIsAtOnceAndTellsWhenToComeBack) {
   CallerBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kBusy);
-  const http::Response response = bench.Call("POST", kJob, kBody);
+  const http::Response response = bench.Call("POST", kJobPath, kBody);
   BOOST_TEST(response.status == 503);
   BOOST_TEST(http::FindHeader(response.headers, "Retry-After"));
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).empty());
@@ -116,7 +117,7 @@
     CallerBench bench;
     bench.standin.SetMood(mood);
     const http::Response response =
-        bench.Call("POST", kJob, kBody, "h.example", "1200");
+        bench.Call("POST", kJobPath, kBody, "h.example", "1200");
     BOOST_TEST(response.status == 504);
     BOOST_TEST(bench.standin.writes() <= 8);
   }
@@ -127,13 +128,13 @@
 BOOST_AUTO_TEST_CASE(CancelOfUnknownFateIsNeverCalledRefused) {
   using Mood = StoreStandin::Mood;
   CallerBench bench;
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
   // A kept connection that ends without an answer is tried once more by the
   // HTTP library itself.
   bench.standin.SetNextWrites(
       {Mood::kLosesAnswers, Mood::kLosesAnswers, Mood::kBusy, Mood::kBusy});
-  BOOST_TEST(bench.Call("DELETE", kJob).status == 504);
-  BOOST_TEST(!bench.standin.Value(CancelRow(kId, {})).empty());
+  BOOST_TEST(bench.Call("DELETE", kJobPath).status == 504);
+  BOOST_TEST(!bench.standin.Value(CancelRow(kJobId, {})).empty());
 }
 
 // Two daemons choose different shards for one job: the first one's holds, and a
@@ -146,30 +147,30 @@
   });
   const Shard first{.number = 1, .count = 2};
   const Shard other{.number = 0, .count = 2};
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
-  BOOST_TEST(!bench.standin.Value(JobRow(kId, first)).empty());
-  BOOST_TEST(bench.standin.Value(JobRow(kId, other)).empty());
-  BOOST_TEST(bench.Call("DELETE", kJob).status == 200);
-  BOOST_TEST(bench.standin.Value(CancelRow(kId, first)) == "1");
-  BOOST_TEST(bench.standin.Value(CancelRow(kId, other)).empty());
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
+  BOOST_TEST(!bench.standin.Value(JobRow(kJobId, first)).empty());
+  BOOST_TEST(bench.standin.Value(JobRow(kJobId, other)).empty());
+  BOOST_TEST(bench.Call("DELETE", kJobPath).status == 200);
+  BOOST_TEST(bench.standin.Value(CancelRow(kJobId, first)) == "1");
+  BOOST_TEST(bench.standin.Value(CancelRow(kJobId, other)).empty());
 }
 
 // Writes are cut one after the other: the caller hears long before its patience
 // ends, and the next one is not even tried.
-BOOST_AUTO_TEST_CASE(CallersOfADaemonThatTheStoreTurnsAwayAreToldAtOnce) {
+BOOST_AUTO_TEST_CASE(LostStoreConnectionsFailRequestsBeforeTheirDeadline) {
   CallerBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kCuts);
-  BOOST_TEST(bench.Call("POST", kJob, kBody, "h.example", "30000").status ==
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody, "h.example", "30000").status ==
              504);
   const int written = bench.standin.writes();
   BOOST_TEST(written <= 6);
   BOOST_TEST(bench.Call("POST", "/p/0000000000000001", kBody).status == 503);
-  BOOST_TEST(bench.Call("GET", kJob).status == 503);
+  BOOST_TEST(bench.Call("GET", kJobPath).status == 503);
   BOOST_TEST(bench.standin.writes() == written);
 }
 
-BOOST_AUTO_TEST_CASE(JobThatNoRowCanHoldIsRefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(JobLargerThanARowIsRejectedWithoutAWrite) {
   CallerBench bench;
   const std::string step =
       R"({"count":1,"requirements":")" + std::string(200, 'x') + R"("})";
@@ -177,18 +178,19 @@
   for (int i = 0; i < 60; ++i)
     steps += "," + step;
   const std::string body = R"({"spec":"t","steps":[)" + steps + "]}";
-  BOOST_TEST(bench.Call("POST", kJob, body).status == 413);
+  BOOST_TEST(bench.Call("POST", kJobPath, body).status == 413);
   BOOST_TEST(bench.standin.writes() == 0);
 }
 
 // A job whose write is on its way when the process ends may yet be taken.
-BOOST_AUTO_TEST_CASE(JobInFlightAtTheEndIsNotCalledRefused) {
+BOOST_AUTO_TEST_CASE(JobInFlightAtShutdownIsNotReportedAsRefused) {
   CallerBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kSilent);
   std::optional<int> status;
   bench.client.Send(
       {.method = "POST",
-       .url = "http://127.0.0.1:" + std::to_string(bench.server.port()) + kJob,
+       .url =
+           "http://127.0.0.1:" + std::to_string(bench.server.port()) + kJobPath,
        .headers = {{.name = "Host", .value = "h.example"}},
        .body = kBody},
       [&](const http::ClientResult& got) { status = got.response.status; });
@@ -198,33 +200,34 @@
   BOOST_TEST(*status == 504);
 }
 
-BOOST_AUTO_TEST_CASE(CancelIsKeptAndUnknownJobsAreGone) {
+BOOST_AUTO_TEST_CASE(CancelIsStoredAndUnknownJobsAnswerGone) {
   CallerBench bench;
-  BOOST_TEST(bench.Call("DELETE", kJob).status == 410);
-  BOOST_TEST(bench.Call("GET", kJob).status == 410);
-  bench.Call("POST", kJob, kBody);
-  BOOST_TEST(bench.Call("DELETE", kJob).status == 200);
-  BOOST_TEST(bench.standin.Value(CancelRow(kId, {})) == "1");
+  BOOST_TEST(bench.Call("DELETE", kJobPath).status == 410);
+  BOOST_TEST(bench.Call("GET", kJobPath).status == 410);
+  bench.Call("POST", kJobPath, kBody);
+  BOOST_TEST(bench.Call("DELETE", kJobPath).status == 200);
+  BOOST_TEST(bench.standin.Value(CancelRow(kJobId, {})) == "1");
 }
 
 BOOST_AUTO_TEST_CASE(StateThatCannotBeReadIsNotGuessed) {
   CallerBench bench;
-  bench.Call("POST", kJob, kBody);
-  bench.standin.Put(ProgressRow(kId), "nonsense");
-  BOOST_TEST(bench.Call("GET", kJob).status == 503);
+  bench.Call("POST", kJobPath, kBody);
+  bench.standin.Put(ProgressRow(kJobId), "nonsense");
+  BOOST_TEST(bench.Call("GET", kJobPath).status == 503);
   bench.standin.SetMood(StoreStandin::Mood::kBusy);
-  BOOST_TEST(bench.Call("GET", kJob).status == 503);
+  BOOST_TEST(bench.Call("GET", kJobPath).status == 503);
 }
 
-BOOST_AUTO_TEST_CASE(BadRequestsGetAClearAnswer) {
+BOOST_AUTO_TEST_CASE(InvalidRequestsGetTheMatchingStatus) {
   CallerBench bench;
-  BOOST_TEST(bench.Call("POST", kJob, "{").status == 400);
+  BOOST_TEST(bench.Call("POST", kJobPath, "{").status == 400);
   BOOST_TEST(bench.Call("POST", "/p/short", kBody).status == 400);
-  BOOST_TEST(bench.Call("POST", kJob, kBody, "other.example").status == 404);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody, "other.example").status ==
+             404);
   BOOST_TEST(bench.Call("POST", "/elsewhere", kBody).status == 404);
-  BOOST_TEST(bench.Call("PATCH", kJob, kBody).status == 405);
+  BOOST_TEST(bench.Call("PATCH", kJobPath, kBody).status == 405);
   const std::string long_body(300'000, ' ');
-  BOOST_TEST(bench.Call("POST", kJob, long_body).status == 413);
+  BOOST_TEST(bench.Call("POST", kJobPath, long_body).status == 413);
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).empty());
 }
 
@@ -233,11 +236,11 @@
   CallerBench bench;
   jobs::Progress progress;
   progress.state = jobs::JobState::kCompleted;
-  bench.standin.Put(ProgressRow(kId),
+  bench.standin.Put(ProgressRow(kJobId),
                     EncodeKept({.text = jobs::EncodeProgress(progress)}));
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
-  BOOST_TEST(bench.standin.Value(JobRow(kId, {})).empty());
-  BOOST_TEST(bench.Call("GET", kJob).body == R"({"state":"completed"})");
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
+  BOOST_TEST(bench.standin.Value(JobRow(kJobId, {})).empty());
+  BOOST_TEST(bench.Call("GET", kJobPath).body == R"({"state":"completed"})");
 }
 
 const platform::RowKey kConfigRow{
@@ -252,17 +255,18 @@
       kConfigRow,
       R"({"version":2,"routes":[{"name":"n","host":"new.example",)"
       R"("pathPrefix":"/n/","service":"s"}],"services":[{"name":"s"}]})");
-  bench.WaitUntilTheViewIsOld();
-  constexpr const char* kNewJob = "/n/5c0e7a21d94b36f8";
-  BOOST_TEST(bench.Call("POST", kNewJob, kBody, "new.example").status == 200);
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 404);
+  bench.WaitUntilConfigIsStale();
+  constexpr const char* kNewJobPath = "/n/5c0e7a21d94b36f8";
+  BOOST_TEST(bench.Call("POST", kNewJobPath, kBody, "new.example").status ==
+             200);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 404);
 }
 
 BOOST_AUTO_TEST_CASE(DroppedQueueIsNotServedByAnOldView) {
   CallerBench bench;
   bench.standin.Put(kConfigRow, R"({"version":2,"routes":[],"services":[]})");
-  bench.WaitUntilTheViewIsOld();
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 404);
+  bench.WaitUntilConfigIsStale();
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 404);
 }
 
 // --- Access keys ---
@@ -283,7 +287,7 @@
         "Bearer key-of-bees", "key-of-bees"}) {
     bench.authorization = key;
     for (const char* method : {"POST", "GET", "DELETE"})
-      BOOST_TEST(bench.Call(method, kJob, kBody).status == 401, key);
+      BOOST_TEST(bench.Call(method, kJobPath, kBody).status == 401, key);
   }
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).empty());
   const http::Response refused = bench.Call("GET", "/p/");
@@ -292,9 +296,9 @@
   bench.authorization = "";
   BOOST_TEST(bench.Call("POST", "/open/5c0e7a21d94b36f9", kBody).status == 200);
   bench.authorization = "Token key-of-bees";
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
-  BOOST_TEST(bench.Call("GET", kJob).status == 200);
-  const auto kept = DecodeAccepted(bench.standin.Value(JobRow(kId, {})));
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
+  BOOST_TEST(bench.Call("GET", kJobPath).status == 200);
+  const auto kept = DecodeAccepted(bench.standin.Value(JobRow(kJobId, {})));
   BOOST_REQUIRE(kept);
   BOOST_TEST(kept->organisation == "bees");
 }
@@ -307,11 +311,11 @@
                     R"({"version":3,"routes":[{"name":"q","host":"h.example",)"
                     R"("pathPrefix":"/p/","service":"s"}],"services":[],)"
                     R"("tenants":[{"name":"bees","apiKeys":["new"]}]})");
-  bench.WaitUntilTheViewIsOld();
+  bench.WaitUntilConfigIsStale();
   bench.authorization = "Token new";
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
   bench.authorization = "Token key-of-bees";
-  BOOST_TEST(bench.Call("GET", kJob).status == 401);
+  BOOST_TEST(bench.Call("GET", kJobPath).status == 401);
 }
 
 BOOST_AUTO_TEST_CASE(RemovedKeyIsNotServedByAnOldView) {
@@ -321,9 +325,9 @@
                     R"({"version":3,"routes":[{"name":"q","host":"h.example",)"
                     R"("pathPrefix":"/p/","service":"s"}],"services":[],)"
                     R"("tenants":[]})");
-  bench.WaitUntilTheViewIsOld();
+  bench.WaitUntilConfigIsStale();
   bench.authorization = "Token key-of-bees";
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 401);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 401);
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).empty());
 }
 
@@ -331,35 +335,36 @@
 BOOST_AUTO_TEST_CASE(KeyThatCannotBeCheckedIsNeitherServedNorCalledUnknown) {
   CallerBench bench;
   bench.api.SetConfig(platform::ParseConfig(kKeyedConfig));
-  bench.WaitUntilTheViewIsOld();
+  bench.WaitUntilConfigIsStale();
   bench.standin.SetMood(StoreStandin::Mood::kBusy);
   for (const char* key : {"Token key-of-bees", "Token unknown"}) {
     bench.authorization = key;
-    BOOST_TEST(bench.Call("POST", kJob, kBody).status == 503);
+    BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 503);
   }
 }
 
-BOOST_AUTO_TEST_CASE(GangThatNoQuotaCanHoldIsRefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(GangLargerThanItsQuotaIsRejected) {
   CallerBench bench;
   bench.api.SetConfig(platform::ParseConfig(kKeyedConfig));
   bench.authorization = "Token key-of-bees";
   const auto body = [](const char* gang) {
     return std::string(R"({"steps":[{"count":5,"cpu":4000)") + gang + "}]}";
   };
-  BOOST_TEST(bench.Call("POST", kJob, body(R"(,"gang":true)")).status == 413);
-  BOOST_TEST(bench.Call("POST", kJob, body("")).status == 200);
+  BOOST_TEST(bench.Call("POST", kJobPath, body(R"(,"gang":true)")).status ==
+             413);
+  BOOST_TEST(bench.Call("POST", kJobPath, body("")).status == 200);
 }
 
 BOOST_AUTO_TEST_CASE(FloodOfUnknownKeysAsksTheStoreNowAndThen) {
   CallerBench bench;
   bench.standin.Put(kConfigRow, kKeyedConfig);
   bench.api.SetConfig(platform::ParseConfig(kKeyedConfig));
-  bench.WaitUntilTheViewIsOld();
+  bench.WaitUntilConfigIsStale();
   const int before = bench.standin.reads();
   const base::Micros start = base::MonotonicNow();
   for (int i = 0; i < 200; ++i) {
     bench.authorization = "Token wrong-" + std::to_string(i);
-    BOOST_TEST(bench.Call("GET", kJob).status == 401);
+    BOOST_TEST(bench.Call("GET", kJobPath).status == 401);
   }
   // Four a second, and the one that began.
   const auto allowed =
@@ -369,10 +374,10 @@
 
 BOOST_AUTO_TEST_CASE(OldViewThatTheStoreDoesNotRenewDecidesNothing) {
   CallerBench bench;
-  bench.WaitUntilTheViewIsOld();
+  bench.WaitUntilConfigIsStale();
   bench.standin.SetMood(StoreStandin::Mood::kBusy);
   BOOST_TEST(bench.Call("POST", "/elsewhere", kBody).status == 503);
-  BOOST_TEST(bench.Call("POST", kJob, kBody).status == 503);
+  BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 503);
 }
 
 BOOST_AUTO_TEST_CASE(CountsComeFromTheStore) {
@@ -382,7 +387,7 @@
   BOOST_TEST(bench.Call("GET", "/p/").body == R"({"pending":12})");
 }
 
-BOOST_AUTO_TEST_CASE(WithoutAConfigurationNothingIsTaken) {
+BOOST_AUTO_TEST_CASE(RequestsAreRefusedBeforeAConfigurationIsLoaded) {
   StoreBench bench;
   CallerApi api(bench.loop, bench.store, bench.counters,
                 [](const platform::Row&) {});
@@ -392,7 +397,7 @@
   std::optional<int> status;
   bench.client.Send(
       {.method = "POST",
-       .url = "http://127.0.0.1:" + std::to_string(server.port()) + kJob,
+       .url = "http://127.0.0.1:" + std::to_string(server.port()) + kJobPath,
        .body = kBody},
       [&](const http::ClientResult& got) { status = got.response.status; });
   bench.Until([&] { return status.has_value(); });
--- a/entry/quota_shares_test.cc
+++ b/entry/quota_shares_test.cc
@@ -221,7 +221,7 @@
   BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(QuotaRowsAreReadAsTheyWereWritten) {
+BOOST_AUTO_TEST_CASE(QuotaRowsRoundTripAndMalformedOnesAreRejected) {
   const QuotaRow row{.shares = {300, 700}, .wants = {0, 900}};
   BOOST_CHECK(DecodeQuotaRow(EncodeQuotaRow(row), 2) == row);
   for (const char* text :
@@ -234,7 +234,7 @@
 }
 
 // A row that another writer has spoilt raises nobody's share.
-BOOST_AUTO_TEST_CASE(RowThatCannotBeReadRaisesNoShare) {
+BOOST_AUTO_TEST_CASE(MalformedRowRaisesNoShare) {
   QuotaShares shares({.number = 0, .count = 2});
   shares.OnRowRead(kOrganisation,
                    QuotaRow{.shares = {200, 800}, .wants = {0, 0}}, 5);
