--- a/entry/caller_api.h
+++ b/entry/caller_api.h
@@ -1,5 +1,5 @@
-// Callers' interface: jobs are handed in, asked for, cancelled and counted.
-// Any daemon answers from the store; nothing is kept here.
+// The callers' HTTP interface: submits, queries, cancels and counts jobs. Holds
+// no job state of its own, so that any daemon can answer from the store.
 
 #ifndef ENTRY_CALLER_API_H_
 #define ENTRY_CALLER_API_H_
@@ -24,31 +24,31 @@
 
 class CallerApi {
  public:
-  // `on_config_row` takes the operators' configuration as the store has it,
-  // read when this daemon's view of it was too old to go by; it calls SetConfig
-  // if that is newer.
+  // `on_config_row` receives the operators' configuration row when it was read
+  // from the store because the local copy was stale; it calls SetConfig if the
+  // row is newer.
   CallerApi(base::Loop& loop,
             platform::Store& store,
             base::Counters& counters,
             std::function<void(const platform::Row& row)> on_config_row);
 
   void SetConfig(const jobs::Config& config);
-  // In how many shards the fleet is scheduled, and which of them takes a job;
-  // until then nothing is taken.
   using ChooseShard = std::function<
       int(const jobs::Config&, const jobs::Queue&, const jobs::JobSpec&)>;
+  // The number of shards and the function that assigns a job to one of them.
+  // Requests are refused until this is called.
   void SetShards(int count, ChooseShard choose);
-  // The store has said that the configuration is the newest as of `seen`.
+  // The store confirmed that the configuration was the newest at `time`.
   void OnConfigConfirmed(base::Micros time);
-  // From now on answers end their connections: the process is to stop.
+  // Makes all further responses close their connections.
   void BeginShutdown();
   void Handle(const http::ExchangePtr& exchange);
-  // The process ends now: whoever still waits for a job to be taken is told
-  // whether that may yet happen.
+  // Answers all pending submissions: 503 if the job was certainly not written,
+  // 504 if it may have been or may still be.
   void Shutdown();
 
  private:
-  // A job that waits to be written.
+  // A job whose write is pending.
   struct Submission {
     http::ExchangePtr exchange;
     std::string job;
@@ -56,27 +56,29 @@
     Shard shard;
     base::Micros arrived{};
     base::Micros deadline{};
-    bool may_be_written = false;  // an earlier try may have been written
-    bool write_alone = false;     // the write that it shared was refused
+    bool may_be_written = false;  // by an earlier attempt
+    bool write_alone = false;     // the batch that contained it was refused
   };
   struct Cancellation {
     http::ExchangePtr exchange;
     std::string job;
     Shard shard;
-    int tries_left = 0;           // that are left
-    bool may_be_written = false;  // an earlier try may have been written
+    int tries_left = 0;
+    bool may_be_written = false;  // by an earlier attempt
   };
+  // The submissions whose rows lie in one part of the store.
   struct PartQueue {
-    std::deque<Submission> waiting;
-    std::deque<Submission> to_retry;  // whose fate is open, until the next try
-    std::shared_ptr<std::vector<Submission>>
-        in_flight;  // whose write is on its way
+    std::deque<Submission> waiting;   // for the next write
+    std::deque<Submission> to_retry;  // outcome unknown; until the retry timer
+    // The batch that is being written; null if there is none.
+    std::shared_ptr<std::vector<Submission>> in_flight;
   };
 
+  // What confirmed the configuration that a request is served under.
   enum class ConfigSource { kFeed, kStoreRead };
 
-  // A write whose fate is open is tried again after this, doubled with each
-  // failure in a row.
+  // Initial delay before a write of unknown outcome is retried; it doubles with
+  // each consecutive unknown outcome.
   static constexpr base::Micros kWriteRetryDelay{60'000};
 
   void Dispatch(const http::ExchangePtr& exchange, ConfigSource source);
@@ -110,13 +112,13 @@
   base::Counters& counters;
   std::function<void(const platform::Row& row)> on_config_row;
   std::optional<jobs::Config> config;
-  int shards = 0;  // 0: not known yet
+  int shards = 0;  // 0: not known
   ChooseShard choose_shard;
   base::Micros config_confirmed{};
-  // Requests that wait for the store's configuration.
+  // Requests waiting for a read of the configuration.
   std::vector<http::ExchangePtr> awaiting_config;
   std::map<std::string, PartQueue> parts;
-  base::Micros write_retry_delay = kWriteRetryDelay;  // until the next try
+  base::Micros write_retry_delay = kWriteRetryDelay;
   base::Timer retry_timer;
   bool stopping = false;
 };
