--- a/entry/caller_api.cc
+++ b/entry/caller_api.cc
@@ -18,16 +18,15 @@
 using std::chrono::milliseconds;
 
 constexpr int kCancelAttempts = 3;
-// A queue or a key is called unknown by a view that is at most so old; else the
-// store is sent_at, some ms. Bounds what a flood of such requests costs: four
-// reads a second.
+// A queue or access key is rejected as unknown only under a configuration that
+// was confirmed this recently; otherwise the store is read first, which takes a
+// few ms. Limits the reads under a flood of such requests to four a second.
 constexpr base::Micros kMaxConfigAge = milliseconds(250);
 
 std::string_view StripPort(std::string_view host) {
   return host.substr(0, host.find(':'));
 }
 
-// A job's id: 16 hex digits.
 bool IsJobId(std::string_view text) {
   constexpr std::size_t kDigits = 16;
   return text.size() == kDigits &&
@@ -115,13 +114,15 @@
     this->Refuse(exchange, kServiceUnavailable, "", "no configuration yet");
     return;
   }
-  // What is known to fail is not tried: feeds find out when the store is back.
+  // Fails at once instead of starting a call that is expected to fail. The
+  // feeds keep polling and so detect when the store is back.
   if (this->store.SeemsAway()) {
     this->Refuse(exchange, kServiceUnavailable, "", "the store is away");
     return;
   }
-  // A view that the feed has not renewed for half of the time in which a change
-  // must be in force may be a dropped queue's, or lack a new one.
+  // A configuration that the feed has not confirmed for half of the time in
+  // which a change must be in force may still contain a removed queue or lack a
+  // new one.
   const base::Micros age = base::MonotonicNow() - this->config_confirmed;
   if (age > this->store.deployment().config_in_force / 2)
     this->ReadConfig(exchange);
@@ -129,7 +130,7 @@
     this->Dispatch(exchange, ConfigSource::kFeed);
 }
 
-// Requests that come while the store is sent_at share its answer.
+// Requests that arrive while a read is in flight share its result.
 void CallerApi::ReadConfig(const http::ExchangePtr& exchange) {
   this->awaiting_config.push_back(exchange);
   if (this->awaiting_config.size() > 1)
@@ -170,13 +171,13 @@
 void CallerApi::Dispatch(const http::ExchangePtr& exchange,
                          ConfigSource source) {
   const http::Request& request = exchange->request();
-  // 1. The queue, by host and path.
+  // 1. Find the queue by host and path.
   const std::string_view path =
       std::string_view(request.path).substr(0, request.path.find('?'));
   const std::string* host = http::FindHeader(request.headers, "Host");
   const jobs::Queue* queue =
       this->config->Route(host ? StripPort(*host) : "", path);
-  // 2. The caller, by its key.
+  // 2. Authenticate the caller by its access key.
   const std::optional<std::string> organisation =
       queue ? AuthenticateCaller(*this->config, *queue, request.headers)
             : std::nullopt;
@@ -193,7 +194,7 @@
     this->Refuse(exchange, kUnauthorized, "", "the access key is not known");
     return;
   }
-  // 3. The queue itself, or one of its jobs.
+  // 3. Serve the queue itself or one of its jobs.
   const std::string job(path.substr(queue->path_prefix.size()));
   if (job.empty() && request.method == "GET") {
     this->AnswerCount(exchange, queue->name);
@@ -213,10 +214,10 @@
     this->Refuse(exchange, kMethodNotAllowed, job, "POST, GET or DELETE");
 }
 
-// --- Asking, cancelling, counting ---
+// --- Queries, cancellation, counts ---
 
-// `found` gets what the job's row holds; a caller whose job is not there, or
-// cannot be looked for now, is answered here.
+// Passes the job's progress row to `on_found`. Answers the caller itself if the
+// row does not exist, cannot be read or is malformed.
 void CallerApi::ReadProgress(
     const http::ExchangePtr& exchange,
     const std::string& job,
@@ -275,8 +276,8 @@
 }
 
 void CallerApi::WriteCancel(const Cancellation& cancel) {
-  // Nothing else writes this row, so that this can be done twice or late, also
-  // after the job is over.
+  // Unconditional: only cancellations write this row, so that the write may be
+  // repeated or arrive late, even after the job has finished.
   const platform::WriteBatch write{
       .conditions = {},
       .puts = {{.at = CancelRow(cancel.job, cancel.shard), .value = "1"}},
@@ -313,7 +314,7 @@
                        "the store does not answer");
           return;
         }
-        // A queue that is new has no count yet.
+        // A new queue has no count yet and counts as 0.
         std::int64_t count = 0;
         for (const platform::Row& row : content->rows)
           count += CountOf(row.value, queue);
