--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -1,4 +1,5 @@
-// How a job that is handed in is written, and what its caller is told.
+// Submissions: validates a job, writes it to the store in batches and answers
+// its caller.
 
 #include <algorithm>
 #include <chrono>
@@ -20,11 +21,12 @@
 
 using std::chrono::milliseconds;
 
-// A write takes a condition and two rows for each job.
+// A write contains a condition and two rows for each job.
 constexpr std::size_t kEntriesPerJob = 3;
-// The longest wait for the next try of a write whose fate is open.
+// Maximum delay before a write of unknown outcome is retried.
 constexpr base::Micros kMaxWriteRetryDelay = milliseconds(480);
-// An answer is to leave this long before the caller gives up.
+// Retries end this long before the caller's deadline, so that the response
+// still reaches it.
 constexpr base::Micros kReplyMargin = milliseconds(150);
 
 std::int64_t NowMillis() {
@@ -85,7 +87,7 @@
   this->WritePart(part);
 }
 
-// Jobs that come while a write is on its way share the next one.
+// One write per part is in flight; jobs that arrive meanwhile share the next.
 void CallerApi::WritePart(const std::string& part) {
   PartQueue& queue = this->parts[part];
   if (queue.in_flight || queue.waiting.empty())
@@ -104,12 +106,14 @@
     const bool write_alone = front.write_alone;
     Submission next = std::move(front);
     queue.waiting.pop_front();
-    // The same job twice: the second finds the row of the first.
+    // A second submission of the same job goes into a later write, where its
+    // condition fails on the row of the first.
     if (!batch_jobs.insert(next.job).second) {
       duplicates.push_back(std::move(next));
       continue;
     }
-    // Its progress stands after the job is over, when its own row is gone.
+    // The condition is on the progress row, since it outlives the job's own
+    // row, which is removed when the job finishes.
     write.conditions.push_back({.at = ProgressRow(next.job), .version = 0});
     write.puts.push_back(
         {.at = JobRow(next.job, next.shard), .value = next.row});
@@ -154,7 +158,8 @@
     }
     if (result.outcome == platform::WriteOutcome::kUnknown)
       submission.may_be_written = true;
-    // Another job of the write may be what the store does not take.
+    // Another job of the batch may be the one that the store rejects: retries
+    // each in a write of its own.
     const bool permanent = result.outcome == platform::WriteOutcome::kRefused;
     if (permanent && batch.size() > 1) {
       submission.write_alone = true;
@@ -176,8 +181,9 @@
               : kWriteRetryDelay;
 }
 
-// A caller whose job this daemon cannot write soon is told at once: its next
-// try reaches another daemon, which may.
+// If the job cannot be retried before its deadline, or the store seems
+// unreachable, the caller is answered at once: its own retry may reach another
+// daemon that can write.
 void CallerApi::ScheduleRetry(const std::string& part, Submission submission) {
   const bool past_deadline =
       base::MonotonicNow() + this->write_retry_delay > submission.deadline;
