--- a/entry/caller_rights.cc
+++ b/entry/caller_rights.cc
@@ -30,8 +30,8 @@
   return key_optional ? std::optional<std::string>("") : std::nullopt;
 }
 
-// The tasks of a gang run together or not at all: one that is larger than the
-// quota can never run.
+// The tasks of a gang run together or not at all, so that a gang larger than
+// the quota can never start.
 bool GangExceedsQuota(const jobs::Config& config,
                       const std::string& organisation,
                       const jobs::JobSpec& spec) {
--- a/entry/caller_rights.h
+++ b/entry/caller_rights.h
@@ -1,4 +1,5 @@
-// Who a caller is, by its access key, and what its organisation may hand in.
+// Authentication of callers by access key, and the check of submitted jobs
+// against the organisation's quota.
 
 #ifndef ENTRY_CALLER_RIGHTS_H_
 #define ENTRY_CALLER_RIGHTS_H_
@@ -12,14 +13,15 @@
 
 namespace quartzhoist::entry {
 
-// The caller's organisation; empty where none is asked for and none named.
-// Nothing if the queue asks for a key that the configuration knows, and none
-// came.
+// The organisation whose access key the request carries; empty if the queue
+// requires no key and the request has no known one. Nothing if the queue
+// requires a key and the request has no known one.
 std::optional<std::string> AuthenticateCaller(const jobs::Config& config,
                                               const jobs::Queue& queue,
                                               const http::Headers& headers);
 
-// Does the job hold a gang that needs more than the organisation's quota?
+// Whether the job contains a gang that needs more than the organisation's
+// quota.
 bool GangExceedsQuota(const jobs::Config& config,
                       const std::string& organisation,
                       const jobs::JobSpec& spec);
--- a/entry/caller_status.h
+++ b/entry/caller_status.h
@@ -1,4 +1,4 @@
-// The statuses that callers are answered with.
+// The HTTP statuses of responses to callers.
 
 #ifndef ENTRY_CALLER_STATUS_H_
 #define ENTRY_CALLER_STATUS_H_
@@ -12,8 +12,8 @@
 inline constexpr int kMethodNotAllowed = 405;
 inline constexpr int kGone = 410;
 inline constexpr int kPayloadTooLarge = 413;
-inline constexpr int kServiceUnavailable = 503;  // nothing was done
-inline constexpr int kGatewayTimeout = 504;      // it may have been done
+inline constexpr int kServiceUnavailable = 503;  // not carried out
+inline constexpr int kGatewayTimeout = 504;      // may have been carried out
 
 }  // namespace quartzhoist::entry
 
