--- a/entry/quota_shares.cc
+++ b/entry/quota_shares.cc
@@ -13,11 +13,11 @@
 using Json = nlohmann::json;
 using scheduler::kWholeQuota;
 
-// A want that differs by less is not written anew: at a height of demand it
-// grows with each task that waits.
+// A request that changes by less is not rewritten: under peak demand it grows
+// with each waiting task. In thousandths of the quota.
 constexpr int kMinRequestChange = 50;
-// What a shard keeps of its share beyond what it uses and wants, so that its
-// next tasks need not ask first.
+// The share that a shard keeps beyond what it wants, so that its next tasks can
+// start without a request. In thousandths of the quota.
 constexpr int kReservedShare = 20;
 
 std::vector<int> ParseShareArray(const Json& list, std::size_t count) {
@@ -72,8 +72,8 @@
   return row.shares[static_cast<std::size_t>(this->shard.number)];
 }
 
-// While a write is on its way that lowers the own share, the lower one counts:
-// the row may show it at any time.
+// While a write that lowers the own share is pending, the lower value applies,
+// since the write may take effect at any time.
 void QuotaShares::OnRowRead(const std::string& organisation,
                             const std::optional<QuotaRow>& row,
                             std::uint64_t version) {
@@ -103,8 +103,9 @@
     this->UpdateRequest(next, need);
     if (usage_complete)
       this->GrantSurplus(next, need);
-    // A write of unknown fate keeps the own share low; another one, of whatever
-    // row, leaves it no version to be made in.
+    // After a write of unknown outcome the lowered share stays in effect.
+    // Writing the row again, even unchanged, raises its version, so that the
+    // earlier write's version condition can no longer hold.
     const bool must_rewrite =
         entry.effective_share < this->OwnShare(entry.row) &&
         need.wanted > entry.effective_share;
@@ -133,8 +134,9 @@
     row.wants[own] = want;
 }
 
-// What this shard neither uses nor wants goes to those that are short. One that
-// is short itself keeps an equal share, so that nobody is starved.
+// Transfers this shard's surplus to the shards that request more than they
+// have. A shard that wants more than an equal share keeps that or what it uses,
+// whichever is larger, so that no shard is starved.
 void QuotaShares::GrantSurplus(QuotaRow& row,
                                const scheduler::QuotaNeed& need) const {
   const auto own = static_cast<std::size_t>(this->shard.number);
@@ -154,8 +156,9 @@
   }
 }
 
-// A write of unknown fate may still be made: what it lowers stays lowered until
-// the row is seen in a version that leaves no room for it.
+// A write of unknown outcome may still be applied: a share that it lowers stays
+// lowered until a version of the row is read under which the write's version
+// condition fails.
 void QuotaShares::OnWriteFinished(
     const std::string& organisation,
     std::optional<std::uint64_t> written_version) {
--- a/entry/quota_shares.h
+++ b/entry/quota_shares.h
@@ -1,12 +1,13 @@
-// How the shards share each organisation's quota: a limit that several owners
-// hold together. Rows and needs go in, rows to be written and the own shares
-// come out.
+// Division of each organisation's quota among the shards, whose owners enforce
+// it independently. Pure decisions: takes the rows read and the needs of this
+// shard, and returns the rows to write and the share in effect.
 //
-// A row holds a share for each shard, in thousandths; they add up to the whole.
-// Only a shard's own owner lowers its share, and it counts with the lower one
-// before the row is written; another's raise counts once the row shows it. So
-// what all of them go by never adds up to more than the whole, whatever is
-// lost, late or done twice. Where no row stands, the shares are equal.
+// A row holds the share of each shard, in thousandths that add up to the whole
+// quota. Only the owner of a shard lowers the shard's share, and it applies the
+// lower value before it writes the row. A share raised by another owner takes
+// effect only when the row is read. The shares in effect therefore never add up
+// to more than the quota, even if writes are lost, delayed or repeated. Without
+// a row the shares are equal.
 
 #ifndef ENTRY_QUOTA_SHARES_H_
 #define ENTRY_QUOTA_SHARES_H_
@@ -26,51 +27,52 @@
 // By shard, in thousandths of the quota.
 struct QuotaRow {
   std::vector<int> shares;
-  // What a shard asks for in all; 0: it has what it needs.
+  // The total share that a shard requests; 0: it needs no more than it has.
   std::vector<int> wants;
 
   bool operator==(const QuotaRow&) const = default;
 };
 QuotaRow EqualShares(int shards);
 std::string EncodeQuotaRow(const QuotaRow& row);
-// Nothing if the text is no sharing out among so many shards.
+// Nothing if the text is malformed, is for another number of shards, or its
+// shares exceed the quota.
 std::optional<QuotaRow> DecodeQuotaRow(std::string_view text, int shards);
 
 class QuotaShares {
  public:
   struct Write {
     std::string organisation;
-    std::uint64_t version = 0;  // that the row must have; 0: none
+    std::uint64_t version = 0;  // precondition; 0: no such row
     QuotaRow row;
   };
 
   explicit QuotaShares(const Shard& shard) : shard(shard) {}
 
-  // The store has this row, or one that cannot be read; rows that come late are
-  // passed over.
+  // Applies a row that was read; `row` is nullopt if it was malformed. Versions
+  // that are not newer than the last one are ignored.
   void OnRowRead(const std::string& organisation,
                  const std::optional<QuotaRow>& row,
                  std::uint64_t version);
-  // What is to be written now, of organisations with no write on its way.
-  // `usage_complete`: the owner knows all that runs in its shard, so that it
-  // may give away what it does not use.
+  // The rows to write now, for organisations without a pending write.
+  // `usage_complete`: the owner knows all runs of its shard and may therefore
+  // give away the share that it does not use.
   std::vector<Write> PlanWrites(
       const std::map<std::string, scheduler::QuotaNeed>& needs,
       bool usage_complete);
-  // A write has been answered or granted up; `written_version`: the version it
-  // made.
+  // Ends a pending write. `written_version`: the row's new version; nothing if
+  // the write failed or its outcome is unknown.
   void OnWriteFinished(const std::string& organisation,
                        std::optional<std::uint64_t> written_version);
 
-  // What this shard may use.
+  // The share in effect for this shard, in thousandths.
   int ShareOf(const std::string& organisation) const;
 
  private:
   struct Entry {
     QuotaRow row;
     std::uint64_t version = 0;
-    int effective_share = 0;                // what this shard goes by
-    std::optional<QuotaRow> pending_write;  // the row on its way
+    int effective_share = 0;
+    std::optional<QuotaRow> pending_write;
   };
 
   Entry& EntryFor(const std::string& organisation);
