--- a/entry/quota_records.cc
+++ b/entry/quota_records.cc
@@ -14,12 +14,12 @@
 
 using std::chrono::milliseconds;
 
-// Needs change with each task; shares follow them at this pace. A transfer
-// takes two writes, of the one that asks and of the one that gives.
+// Needs change with each task, shares only once per period. A transfer takes
+// two writes: the request of one shard and the grant of another.
 constexpr base::Micros kUpdatePeriod = milliseconds(50);
-// Shards step at different paces, or many of them would write one row at the
-// same moments, of which one is made.
-constexpr base::Micros kUpdateStagger = milliseconds(15);  // a shard
+// Added to the period for each shard number. With equal periods many shards
+// would write one row at the same time, and only one of the writes succeeds.
+constexpr base::Micros kUpdateStagger = milliseconds(15);
 constexpr base::Micros kClaimRetryDelay = milliseconds(200);
 
 }  // namespace
@@ -48,7 +48,7 @@
     bool usage_complete,
     base::Micros now) {
   this->next_update = now + kUpdatePeriod + kUpdateStagger * this->shard.number;
-  // Where nobody has a quota nothing is written or read.
+  // Without quotas the store is neither read nor written.
   if (needs.empty())
     return;
   if (!this->rows_loaded) {
@@ -62,8 +62,9 @@
   this->ReportShares(needs);
 }
 
-// From here on an earlier owner's writes that are on their way are refused; the
-// rows are read after that.
+// Rewrites the shard's owner row. Writes of an earlier owner that are still in
+// flight carry its old version as a condition and fail from then on; only after
+// that are the rows read.
 void QuotaRecords::ClaimOwnership() {
   this->claiming = true;
   const platform::WriteBatch write{
@@ -107,7 +108,7 @@
 }
 
 void QuotaRecords::ApplyRow(const platform::Row& row) {
-  // An own claim that was made twice.
+  // A claim of this owner that was applied more than once has a newer version.
   if (row.at.key == QuotaOwnerRow(this->shard).key &&
       row.value == std::to_string(this->epoch))
     this->claim_version = std::max(this->claim_version, row.version);
--- a/entry/quota_records.h
+++ b/entry/quota_records.h
@@ -1,6 +1,6 @@
-// The rows in which the shards share organisations' quotas: reads, follows and
-// writes them for one owner. What is to be shared how is decided by
-// QuotaShares.
+// Reads, follows and writes the rows that divide the organisations' quotas
+// among the shards, for the owner of one shard. QuotaShares decides what to
+// write.
 
 #ifndef ENTRY_QUOTA_RECORDS_H_
 #define ENTRY_QUOTA_RECORDS_H_
@@ -22,7 +22,7 @@
 
 class QuotaRecords {
  public:
-  // `on_share_changed`: what this shard may use of an organisation's quota from
+  // Receives the share of an organisation's quota that this shard may use from
   // now on, in thousandths.
   using OnShareChanged =
       std::function<void(const std::string& organisation, int share)>;
@@ -36,9 +36,10 @@
   QuotaRecords(const QuotaRecords&) = delete;
   QuotaRecords& operator=(const QuotaRecords&) = delete;
 
-  // Shares follow needs at a pace: is the next step due?
+  // Whether the update period has passed since the last Update.
   bool IsDue(base::Micros now) const { return now >= this->next_update; }
-  // The organisations with a quota, and how they stand.
+  // Adapts the shares to `needs`, by organisation with a quota.
+  // `usage_complete`: see QuotaShares::PlanWrites.
   void Update(const std::map<std::string, scheduler::QuotaNeed>& needs,
               bool usage_complete,
               base::Micros now);
@@ -59,13 +60,13 @@
   OnShareChanged on_share_changed;
   QuotaShares shares;
   bool claiming = false;
-  std::uint64_t claim_version = 0;  // the own row's version; 0: not written yet
-  bool rows_loaded = false;         // the rows have been read since
+  std::uint64_t claim_version = 0;  // of this shard's owner row; 0: not claimed
+  bool rows_loaded = false;         // since the claim
   base::Micros next_claim{};
   base::Micros next_update{};
   std::map<std::string, int> reported_shares;  // by organisation
   std::unique_ptr<platform::TableFollower> follower;
-  // Calls still on their way when this is destroyed find it unset.
+  // Set to false on destruction; callbacks of calls in flight check it.
   std::shared_ptr<bool> alive;
 };
 
