--- a/entry/quota_shares_test.cc
+++ b/entry/quota_shares_test.cc
@@ -1,5 +1,5 @@
-// A quota that several owners hold together is never passed, and nobody is
-// starved of what lies idle elsewhere.
+// The shards together never exceed a quota, and quota that is idle in one shard
+// becomes available to the others.
 
 #include <algorithm>
 #include <deque>
@@ -19,9 +19,9 @@
 
 constexpr const char* kOrganisation = "bees";
 
-// The quota is a thousand tasks, so that a share is a number of tasks. Owners
-// read late, and their writes are lost, late or refused; owners are replaced
-// while the earlier one's writes are on their way.
+// Model of several owners that share one row. The quota is 1000 tasks, so that
+// a share is a number of tasks. Reads are delayed; writes are lost, delayed or
+// refused; owners are replaced while writes of the earlier one are in flight.
 class QuotaModel {
  public:
   explicit QuotaModel(int shards) : count(shards) {
@@ -38,13 +38,13 @@
     return std::accumulate(this->used.begin(), this->used.end(), 0);
   }
 
-  // The shard's owner sees the row as it is.
+  // The shard's owner reads the current row.
   void Read(int shard) {
     if (this->row)
       this->owners[At(shard)].shares.OnRowRead(kOrganisation, this->row,
                                                this->version);
   }
-  // Tasks end, others begin within the share.
+  // Ends tasks beyond the demand and starts others within the share.
   void Run(int shard) {
     int& runs = this->used[At(shard)];
     runs = std::min(runs, this->demand[At(shard)]);
@@ -60,7 +60,7 @@
       this->in_flight.push_back({shard, owner.incarnation, std::move(write)});
   }
   enum class WriteFate { kAnswered, kUnanswered, kTimedOut, kLost };
-  // One write that is on its way arrives, or is given up.
+  // Delivers, loses or times out one of the writes in flight.
   void Deliver(std::size_t which, WriteFate fate) {
     if (this->in_flight.empty())
       return;
@@ -90,8 +90,8 @@
     if (!fits && !sent.timed_out)
       this->Read(sent.shard);
   }
-  // Another owner: it writes the shard's own row, then reads. What runs it
-  // knows in full only later.
+  // Replaces the shard's owner. The new one claims the shard's owner row, then
+  // reads; it does not know all runs of the shard yet.
   void TakeOver(int shard) {
     Owner& owner = this->owners[At(shard)];
     const int incarnation = owner.incarnation + 1;
@@ -103,7 +103,7 @@
     this->owners[At(shard)].usage_complete = true;
   }
 
-  // Everything goes well for a while.
+  // Twelve rounds in which every read and write succeeds.
   void RunWithoutFaults() {
     for (int turn = 0; turn < 12; ++turn) {
       for (int shard = 0; shard < this->count; ++shard) {
@@ -187,7 +187,8 @@
   BOOST_TEST(holds);
 }
 
-// Whatever came before: what lies idle in one shard is used by another.
+// After any history of delayed and timed-out writes, a shard with demand gets
+// the quota that the other shards leave idle.
 BOOST_AUTO_TEST_CASE(NobodyIsStarvedOfWhatLiesIdle) {
   const bool holds = rc::check("demand below the quota is served", [] {
     const int shards = *rc::gen::element(2, 4, 8);
@@ -208,7 +209,7 @@
     model.SetDemand(busy, 1000 - 20 * shards);
     model.RunWithoutFaults();
     RC_ASSERT(model.Used(busy) == 1000 - 20 * shards);
-    // The others come back: each gets an equal share in time.
+    // Demand returns in all shards: together they use the quota again.
     for (int shard = 0; shard < shards; ++shard)
       model.SetDemand(shard, 1000);
     model.SetDemand(busy, 0);
@@ -233,7 +234,8 @@
   }
 }
 
-// A row that another writer has spoilt raises nobody's share.
+// A malformed row counts as equal shares; if that raised a lowered share, the
+// shards together could exceed the quota.
 BOOST_AUTO_TEST_CASE(MalformedRowRaisesNoShare) {
   QuotaShares shares({.number = 0, .count = 2});
   shares.OnRowRead(kOrganisation,
