--- a/entry/caller_api_test.cc
+++ b/entry/caller_api_test.cc
@@ -1,4 +1,4 @@
-// What callers are told.
+// Responses to callers under store faults, stale configuration and wrong keys.
 
 #include <functional>
 #include <optional>
@@ -60,14 +60,14 @@
     return *response;
   }
 
-  // Nothing follows the operators' table here.
+  // No feed confirms the configuration in these tests.
   void WaitUntilConfigIsStale() {
     const base::Micros until =
         base::MonotonicNow() + platform::Deployment{}.config_in_force;
     this->Until([until] { return base::MonotonicNow() > until; });
   }
 
-  std::string authorization;  // of calls from now on; empty: none
+  std::string authorization;  // of the following calls; empty: none
   CallerApi api{this->loop, this->store, this->counters,
                 [this](const platform::Row& row) {
                   this->api.SetConfig(platform::ParseConfig(row.value));
@@ -95,7 +95,7 @@
 BOOST_AUTO_TEST_CASE(JobIsAcceptedWhenTheAnswerToItsWriteIsLost) {
   CallerBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
-  // The write is tried again under its condition and finds itself.
+  // The retry's condition fails on the row that the first attempt wrote.
   BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).size() == 1U);
 }
@@ -109,8 +109,8 @@
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).empty());
 }
 
-// Tries are spaced out, ever wider, and end once the store seems away; in a
-// loop hundreds fit into that time.
+// Retries back off and end once the store seems unreachable; without a delay
+// hundreds would fit into that time.
 BOOST_AUTO_TEST_CASE(JobOfUnknownFateIsNeverCalledRefusedNorWrittenInALoop) {
   for (const auto mood :
        {StoreStandin::Mood::kSilent, StoreStandin::Mood::kCuts}) {
@@ -123,22 +123,22 @@
   }
 }
 
-// The first try may be written yet: what the later ones meet says nothing
-// about it.
+// The first attempt may still be applied; a refusal of the later ones says
+// nothing about it.
 BOOST_AUTO_TEST_CASE(CancelOfUnknownFateIsNeverCalledRefused) {
   using Mood = StoreStandin::Mood;
   CallerBench bench;
   BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
-  // A kept connection that ends without an answer is tried once more by the
-  // HTTP library itself.
+  // The HTTP library itself retries once when a kept connection ends without an
+  // answer, so that one attempt takes two lost answers.
   bench.standin.SetNextWrites(
       {Mood::kLosesAnswers, Mood::kLosesAnswers, Mood::kBusy, Mood::kBusy});
   BOOST_TEST(bench.Call("DELETE", kJobPath).status == 504);
   BOOST_TEST(!bench.standin.Value(CancelRow(kJobId, {})).empty());
 }
 
-// Two daemons choose different shards for one job: the first one's holds, and a
-// cancel goes there.
+// Two daemons choose different shards for one job: the first choice stays, and
+// a cancellation goes to that shard.
 BOOST_AUTO_TEST_CASE(JobHandedInAgainStaysInItsShard) {
   CallerBench bench;
   int next = 1;
@@ -156,8 +156,8 @@
   BOOST_TEST(bench.standin.Value(CancelRow(kJobId, other)).empty());
 }
 
-// Writes are cut one after the other: the caller hears long before its patience
-// ends, and the next one is not even tried.
+// The connection of every write is cut: the caller is answered long before its
+// deadline, and later requests are refused without another write.
 BOOST_AUTO_TEST_CASE(LostStoreConnectionsFailRequestsBeforeTheirDeadline) {
   CallerBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kCuts);
@@ -182,7 +182,7 @@
   BOOST_TEST(bench.standin.writes() == 0);
 }
 
-// A job whose write is on its way when the process ends may yet be taken.
+// A job whose write is in flight at shutdown may still be accepted.
 BOOST_AUTO_TEST_CASE(JobInFlightAtShutdownIsNotReportedAsRefused) {
   CallerBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kSilent);
@@ -231,7 +231,7 @@
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).empty());
 }
 
-// A job that is over has no row of its own any more, only its progress.
+// A finished job no longer has its own row, only its progress row.
 BOOST_AUTO_TEST_CASE(JobThatIsOverIsNotTakenAgain) {
   CallerBench bench;
   jobs::Progress progress;
@@ -248,7 +248,7 @@
     .part = "",
     .key = std::string(platform::kConfigKey)};
 
-// The feed has fallen silent: a change has not come.
+// The feed has stopped, so that a new queue is known only to the store.
 BOOST_AUTO_TEST_CASE(UnknownQueueIsLookedForInTheStoreBeforeItIsRefused) {
   CallerBench bench;
   bench.standin.Put(
@@ -303,7 +303,7 @@
   BOOST_TEST(kept->organisation == "bees");
 }
 
-// The feed has fallen silent: a key that was added, and one that was removed.
+// The feed has stopped after one key was added and another removed.
 BOOST_AUTO_TEST_CASE(UnknownKeyIsLookedForInTheStoreBeforeItIsRefused) {
   CallerBench bench;
   bench.api.SetConfig(platform::ParseConfig(kKeyedConfig));
@@ -331,7 +331,7 @@
   BOOST_TEST(bench.standin.Table(std::string(kJobTable)).empty());
 }
 
-// Turned away by the store, a daemon can't know whether a key still holds.
+// Without an answer from the store a daemon can't tell whether a key is valid.
 BOOST_AUTO_TEST_CASE(KeyThatCannotBeCheckedIsNeitherServedNorCalledUnknown) {
   CallerBench bench;
   bench.api.SetConfig(platform::ParseConfig(kKeyedConfig));
@@ -366,7 +366,7 @@
     bench.authorization = "Token wrong-" + std::to_string(i);
     BOOST_TEST(bench.Call("GET", kJobPath).status == 401);
   }
-  // Four a second, and the one that began.
+  // Four reads a second, and the one at the start.
   const auto allowed =
       2 + static_cast<int>(4 * base::Seconds(base::MonotonicNow() - start));
   BOOST_TEST(bench.standin.reads() - before <= allowed);
