--- a/entry/caller_api_test.cc
+++ b/entry/caller_api_test.cc
@@ -40,14 +40,14 @@
                       const std::string& path,
                       const std::string& body = "",
                       const std::string& host = "h.example",
-                      const std::string& patience = "2000") {
+                      const std::string& deadline_ms = "2000") {
     std::optional<http::Response> response;
     http::ClientRequest request;
     request.method = method;
     request.url =
         "http://127.0.0.1:" + std::to_string(this->server.port()) + path;
     request.headers = {{.name = "Host", .value = host},
-                       {.name = "Deadline-Ms", .value = patience}};
+                       {.name = "Deadline-Ms", .value = deadline_ms}};
     if (!this->authorization.empty())
       request.headers.push_back(
           {.name = "Authorization", .value = this->authorization});
--- a/entry/quota_shares_test.cc
+++ b/entry/quota_shares_test.cc
@@ -32,8 +32,8 @@
     }
   }
 
-  void SetDemand(int shard, int tasks) { this->demand[At(shard)] = tasks; }
-  int Used(int shard) const { return this->used[At(shard)]; }
+  void SetDemand(int shard, int tasks) { this->demand[IndexOf(shard)] = tasks; }
+  int Used(int shard) const { return this->used[IndexOf(shard)]; }
   int TotalUsed() const {
     return std::accumulate(this->used.begin(), this->used.end(), 0);
   }
@@ -41,78 +41,80 @@
   // The shard's owner reads the current row.
   void Read(int shard) {
     if (this->row)
-      this->owners[At(shard)].shares.OnRowRead(kOrganisation, this->row,
-                                               this->version);
+      this->owners[IndexOf(shard)].shares.OnRowRead(kOrganisation, this->row,
+                                                    this->version);
   }
   // Ends tasks beyond the demand and starts others within the share.
   void Run(int shard) {
-    int& runs = this->used[At(shard)];
-    runs = std::min(runs, this->demand[At(shard)]);
-    const int share = this->owners[At(shard)].shares.ShareOf(kOrganisation);
-    runs = std::max(runs, std::min(share, this->demand[At(shard)]));
+    int& runs = this->used[IndexOf(shard)];
+    runs = std::min(runs, this->demand[IndexOf(shard)]);
+    const int share =
+        this->owners[IndexOf(shard)].shares.ShareOf(kOrganisation);
+    runs = std::max(runs, std::min(share, this->demand[IndexOf(shard)]));
   }
-  void Decide(int shard) {
-    Owner& owner = this->owners[At(shard)];
-    const scheduler::QuotaNeed need{.used = this->used[At(shard)],
-                                    .wanted = this->demand[At(shard)]};
+  void PlanWrites(int shard) {
+    Owner& owner = this->owners[IndexOf(shard)];
+    const scheduler::QuotaNeed need{.used = this->used[IndexOf(shard)],
+                                    .wanted = this->demand[IndexOf(shard)]};
     for (QuotaShares::Write& write :
          owner.shares.PlanWrites({{kOrganisation, need}}, owner.usage_complete))
       this->in_flight.push_back({shard, owner.incarnation, std::move(write)});
   }
-  enum class WriteFate { kAnswered, kUnanswered, kTimedOut, kLost };
+  enum class WriteResult { kAnswered, kUnanswered, kTimedOut, kLost };
   // Delivers, loses or times out one of the writes in flight.
-  void Deliver(std::size_t which, WriteFate fate) {
+  void Deliver(std::size_t which, WriteResult result) {
     if (this->in_flight.empty())
       return;
     const auto at = this->in_flight.begin() +
                     static_cast<std::ptrdiff_t>(which % this->in_flight.size());
-    if (fate == WriteFate::kTimedOut) {
-      this->Settle(*at, std::nullopt);
+    if (result == WriteResult::kTimedOut) {
+      this->FinishWrite(*at, std::nullopt);
       at->timed_out = true;  // it may still arrive
       return;
     }
     const InFlightWrite sent = *at;
     this->in_flight.erase(at);
-    if (fate == WriteFate::kLost) {
-      this->Settle(sent, std::nullopt);
+    if (result == WriteResult::kLost) {
+      this->FinishWrite(sent, std::nullopt);
       return;
     }
-    const bool fits =
+    const bool applies =
         sent.write.version == this->version &&
-        sent.incarnation == this->owners[At(sent.shard)].incarnation;
-    if (fits) {
+        sent.incarnation == this->owners[IndexOf(sent.shard)].incarnation;
+    if (applies) {
       this->row = sent.write.row;
       ++this->version;
     }
-    if (fate == WriteFate::kUnanswered)
+    if (result == WriteResult::kUnanswered)
       return;
-    this->Settle(sent, fits ? std::optional(this->version) : std::nullopt);
-    if (!fits && !sent.timed_out)
+    this->FinishWrite(sent,
+                      applies ? std::optional(this->version) : std::nullopt);
+    if (!applies && !sent.timed_out)
       this->Read(sent.shard);
   }
   // Replaces the shard's owner. The new one claims the shard's owner row, then
   // reads; it does not know all runs of the shard yet.
   void TakeOver(int shard) {
-    Owner& owner = this->owners[At(shard)];
+    Owner& owner = this->owners[IndexOf(shard)];
     const int incarnation = owner.incarnation + 1;
     owner = {QuotaShares({.number = shard, .count = this->count}), incarnation,
              false};
     this->Read(shard);
   }
   void CompleteUsage(int shard) {
-    this->owners[At(shard)].usage_complete = true;
+    this->owners[IndexOf(shard)].usage_complete = true;
   }
 
   // Twelve rounds in which every read and write succeeds.
   void RunWithoutFaults() {
-    for (int turn = 0; turn < 12; ++turn) {
+    for (int round = 0; round < 12; ++round) {
       for (int shard = 0; shard < this->count; ++shard) {
         this->CompleteUsage(shard);
         this->Read(shard);
         this->Run(shard);
-        this->Decide(shard);
+        this->PlanWrites(shard);
         while (!this->in_flight.empty())
-          this->Deliver(0, WriteFate::kAnswered);
+          this->Deliver(0, WriteResult::kAnswered);
       }
     }
   }
@@ -130,10 +132,12 @@
     bool timed_out = false;
   };
 
-  static std::size_t At(int shard) { return static_cast<std::size_t>(shard); }
-  void Settle(const InFlightWrite& sent,
-              std::optional<std::uint64_t> written_version) {
-    Owner& owner = this->owners[At(sent.shard)];
+  static std::size_t IndexOf(int shard) {
+    return static_cast<std::size_t>(shard);
+  }
+  void FinishWrite(const InFlightWrite& sent,
+                   std::optional<std::uint64_t> written_version) {
+    Owner& owner = this->owners[IndexOf(sent.shard)];
     if (owner.incarnation == sent.incarnation && !sent.timed_out)
       owner.shares.OnWriteFinished(kOrganisation, written_version);
   }
@@ -171,14 +175,14 @@
           model.Run(shard);
           break;
         case 5:
-          model.Decide(shard);
+          model.PlanWrites(shard);
           break;
         default:
           model.Deliver(*rc::gen::inRange<std::size_t>(0, 9),
-                        *rc::gen::element(QuotaModel::WriteFate::kAnswered,
-                                          QuotaModel::WriteFate::kUnanswered,
-                                          QuotaModel::WriteFate::kTimedOut,
-                                          QuotaModel::WriteFate::kLost));
+                        *rc::gen::element(QuotaModel::WriteResult::kAnswered,
+                                          QuotaModel::WriteResult::kUnanswered,
+                                          QuotaModel::WriteResult::kTimedOut,
+                                          QuotaModel::WriteResult::kLost));
           break;
       }
       RC_ASSERT(model.TotalUsed() <= scheduler::kWholeQuota);
@@ -198,10 +202,10 @@
       const int shard = *rc::gen::inRange(0, shards);
       model.SetDemand(shard, *rc::gen::inRange(0, 1200));
       model.Run(shard);
-      model.Decide(shard);
+      model.PlanWrites(shard);
       model.Deliver(*rc::gen::inRange<std::size_t>(0, 9),
-                    *rc::gen::element(QuotaModel::WriteFate::kAnswered,
-                                      QuotaModel::WriteFate::kTimedOut));
+                    *rc::gen::element(QuotaModel::WriteResult::kAnswered,
+                                      QuotaModel::WriteResult::kTimedOut));
     }
     for (int shard = 0; shard < shards; ++shard)
       model.SetDemand(shard, 0);
