--- a/entry/caller_api.cc
+++ b/entry/caller_api.cc
@@ -17,17 +17,16 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kCancelTries = 3;
-// A queue or a key is called unknown by a view that is at most so old; else the
-// store is asked, some ms. Bounds what a flood of such requests costs: four
-// reads a second.
-constexpr base::Micros kFreshView = milliseconds(250);
+constexpr int kCancelAttempts = 3;
+// A queue or access key is rejected as unknown only under a configuration that
+// was confirmed this recently; otherwise the store is read first, which takes a
+// few ms. Limits the reads under a flood of such requests to four a second.
+constexpr base::Micros kMaxConfigAge = milliseconds(250);
 
-std::string_view WithoutPort(std::string_view host) {
+std::string_view StripPort(std::string_view host) {
   return host.substr(0, host.find(':'));
 }
 
-// A job's id: 16 hex digits.
 bool IsJobId(std::string_view text) {
   constexpr std::size_t kDigits = 16;
   return text.size() == kDigits &&
@@ -37,18 +36,19 @@
 
 }  // namespace
 
-CallerApi::CallerApi(base::Loop& loop,
-                     platform::Store& on,
-                     base::Counters& count,
-                     std::function<void(const platform::Row& row)> on_row)
-    : store(on),
-      counters(count),
-      on_config_row(std::move(on_row)),
-      retry(loop, [this] { this->WriteAgain(); }) {}
+CallerApi::CallerApi(
+    base::Loop& loop,
+    platform::Store& store,
+    base::Counters& counters,
+    std::function<void(const platform::Row& row)> on_config_row)
+    : store(store),
+      counters(counters),
+      on_config_row(std::move(on_config_row)),
+      retry_timer(loop, [this] { this->RetryWrites(); }) {}
 
 void CallerApi::SetConfig(const jobs::Config& next) {
   this->config = next;
-  this->ConfigSeen(base::MonotonicNow());
+  this->OnConfigConfirmed(base::MonotonicNow());
 }
 
 void CallerApi::SetShards(int count, ChooseShard choose) {
@@ -56,27 +56,28 @@
   this->choose_shard = std::move(choose);
 }
 
-void CallerApi::ConfigSeen(base::Micros seen) {
-  this->config_seen = std::max(this->config_seen, seen);
+void CallerApi::OnConfigConfirmed(base::Micros time) {
+  this->config_confirmed = std::max(this->config_confirmed, time);
 }
 
-void CallerApi::Stop() {
+void CallerApi::BeginShutdown() {
   this->stopping = true;
 }
 
-void CallerApi::End() {
+void CallerApi::Shutdown() {
   for (auto& [part, queue] : this->parts) {
-    for (Submission& submission : queue.again)
+    for (Submission& submission : queue.to_retry)
       queue.waiting.push_back(std::move(submission));
     for (Submission& submission : queue.waiting) {
-      const int status = submission.uncertain ? kUnknownFate : kUnavailable;
+      const int status =
+          submission.may_be_written ? kGatewayTimeout : kServiceUnavailable;
       this->Refuse(submission.exchange, status, submission.job,
                    "this daemon leaves");
     }
-    if (!queue.sent)
+    if (!queue.in_flight)
       continue;
-    for (Submission& submission : *queue.sent) {
-      this->Refuse(submission.exchange, kUnknownFate, submission.job,
+    for (Submission& submission : *queue.in_flight) {
+      this->Refuse(submission.exchange, kGatewayTimeout, submission.job,
                    "this daemon leaves; the write had no answer yet");
     }
   }
@@ -95,12 +96,13 @@
                        std::string_view reason) const {
   http::Response response =
       http::JsonResponse(status, platform::ProblemBody(reason));
-  if (status == kUnavailable)
+  if (status == kServiceUnavailable)
     response.headers.push_back({.name = "Retry-After", .value = "1"});
-  if (status == kNoKey)
+  if (status == kUnauthorized)
     response.headers.push_back({.name = "WWW-Authenticate", .value = "Token"});
-  this->counters.Add(status == kUnknownFate ? base::Counter::kRefusedMayHaveRun
-                                            : base::Counter::kRefusedNotRun);
+  this->counters.Add(status == kGatewayTimeout
+                         ? base::Counter::kRefusedMayHaveRun
+                         : base::Counter::kRefusedNotRun);
   base::Log(base::Event::kJobRefused,
             {{"job", job}, {"status", status}, {"reason", reason}});
   this->Reply(exchange, std::move(response));
@@ -109,27 +111,29 @@
 void CallerApi::Handle(const http::ExchangePtr& exchange) {
   this->counters.Add(base::Counter::kRequests);
   if (!this->config || this->shards == 0) {
-    this->Refuse(exchange, kUnavailable, "", "no configuration yet");
+    this->Refuse(exchange, kServiceUnavailable, "", "no configuration yet");
     return;
   }
-  // What is known to fail is not tried: feeds find out when the store is back.
+  // Fails at once instead of starting a call that is expected to fail. The
+  // feeds keep polling and so detect when the store is back.
   if (this->store.SeemsAway()) {
-    this->Refuse(exchange, kUnavailable, "", "the store is away");
+    this->Refuse(exchange, kServiceUnavailable, "", "the store is away");
     return;
   }
-  // A view that the feed has not renewed for half of the time in which a change
-  // must be in force may be a dropped queue's, or lack a new one.
-  const base::Micros age = base::MonotonicNow() - this->config_seen;
+  // A configuration that the feed has not confirmed for half of the time in
+  // which a change must be in force may still contain a removed queue or lack a
+  // new one.
+  const base::Micros age = base::MonotonicNow() - this->config_confirmed;
   if (age > this->store.deployment().config_in_force / 2)
-    this->AskForConfig(exchange);
+    this->ReadConfig(exchange);
   else
-    this->Dispatch(exchange, ConfigView::kFollowed);
+    this->Dispatch(exchange, ConfigSource::kFeed);
 }
 
-// Requests that come while the store is asked share its answer.
-void CallerApi::AskForConfig(const http::ExchangePtr& exchange) {
-  this->asking.push_back(exchange);
-  if (this->asking.size() > 1)
+// Requests that arrive while a read is in flight share its result.
+void CallerApi::ReadConfig(const http::ExchangePtr& exchange) {
+  this->awaiting_config.push_back(exchange);
+  if (this->awaiting_config.size() > 1)
     return;
   const platform::ReadQuery query{
       .table = std::string(platform::kOperatorTable),
@@ -138,55 +142,59 @@
       .to = {},
       .limit = 1,
       .fresh_connection = true};
-  const base::Micros asked = base::MonotonicNow();
+  const base::Micros sent_at = base::MonotonicNow();
   this->store.Read(
-      query, [this, asked](const std::optional<platform::ReadResult>& result) {
-        this->TakeConfigRow(result, asked);
+      query,
+      [this, sent_at](const std::optional<platform::ReadResult>& result) {
+        this->OnConfigRead(result, sent_at);
       });
 }
 
-void CallerApi::TakeConfigRow(const std::optional<platform::ReadResult>& result,
-                              base::Micros asked) {
-  const bool is_there = result && !result->rows.empty() &&
-                        result->rows.front().at.key == platform::kConfigKey;
-  if (is_there)
+void CallerApi::OnConfigRead(const std::optional<platform::ReadResult>& result,
+                             base::Micros sent_at) {
+  const bool row_found = result && !result->rows.empty() &&
+                         result->rows.front().at.key == platform::kConfigKey;
+  if (row_found)
     this->on_config_row(result->rows.front());
   if (result)
-    this->ConfigSeen(asked);
-  for (const http::ExchangePtr& exchange : std::exchange(this->asking, {})) {
+    this->OnConfigConfirmed(sent_at);
+  for (const http::ExchangePtr& exchange :
+       std::exchange(this->awaiting_config, {})) {
     if (result)
-      this->Dispatch(exchange, ConfigView::kAsked);
+      this->Dispatch(exchange, ConfigSource::kStoreRead);
     else
-      this->Refuse(exchange, kUnavailable, "",
+      this->Refuse(exchange, kServiceUnavailable, "",
                    "it is not known which configuration is in force");
   }
 }
 
-void CallerApi::Dispatch(const http::ExchangePtr& exchange, ConfigView view) {
+void CallerApi::Dispatch(const http::ExchangePtr& exchange,
+                         ConfigSource source) {
   const http::Request& request = exchange->request();
-  // 1. The queue, by host and path.
+  // 1. Find the queue by host and path.
   const std::string_view path =
       std::string_view(request.path).substr(0, request.path.find('?'));
   const std::string* host = http::FindHeader(request.headers, "Host");
   const jobs::Queue* queue =
-      this->config->Route(host ? WithoutPort(*host) : "", path);
-  // 2. The caller, by its key.
+      this->config->Route(host ? StripPort(*host) : "", path);
+  // 2. Authenticate the caller by its access key.
   const std::optional<std::string> organisation =
-      queue ? CallerOf(*this->config, *queue, request.headers) : std::nullopt;
-  const base::Micros age = base::MonotonicNow() - this->config_seen;
-  if (!organisation && view == ConfigView::kFollowed && age > kFreshView) {
-    this->AskForConfig(exchange);
+      queue ? AuthenticateCaller(*this->config, *queue, request.headers)
+            : std::nullopt;
+  const base::Micros age = base::MonotonicNow() - this->config_confirmed;
+  if (!organisation && source == ConfigSource::kFeed && age > kMaxConfigAge) {
+    this->ReadConfig(exchange);
     return;
   }
   if (!queue) {
-    this->Refuse(exchange, kNoQueue, "", "there is no such queue");
+    this->Refuse(exchange, kNotFound, "", "there is no such queue");
     return;
   }
   if (!organisation) {
-    this->Refuse(exchange, kNoKey, "", "the access key is not known");
+    this->Refuse(exchange, kUnauthorized, "", "the access key is not known");
     return;
   }
-  // 3. The queue itself, or one of its jobs.
+  // 3. Serve the queue itself or one of its jobs.
   const std::string job(path.substr(queue->path_prefix.size()));
   if (job.empty() && request.method == "GET") {
     this->AnswerCount(exchange, queue->name);
@@ -203,48 +211,51 @@
   else if (request.method == "DELETE")
     this->Cancel(exchange, job);
   else
-    this->Refuse(exchange, kNoMethod, job, "POST, GET or DELETE");
+    this->Refuse(exchange, kMethodNotAllowed, job, "POST, GET or DELETE");
 }
 
-// --- Asking, cancelling, counting ---
+// --- Queries, cancellation, counts ---
 
-// `found` gets what the job's row holds; a caller whose job is not there, or
-// cannot be looked for now, is answered here.
+// Passes the job's progress row to `on_found`. Answers the caller itself if the
+// row does not exist, cannot be read or is malformed.
 void CallerApi::ReadProgress(
     const http::ExchangePtr& exchange,
     const std::string& job,
-    std::function<void(const KeptProgress& kept)> found) {
+    std::function<void(const KeptProgress& stored)> on_found) {
   const platform::RowKey at = ProgressRow(job);
   const platform::ReadQuery query{
       .table = at.table, .part = at.part, .from = job, .to = {}, .limit = 1};
-  this->store.Read(query, [this, exchange, job, found = std::move(found)](
+  this->store.Read(query, [this, exchange, job, on_found = std::move(on_found)](
                               std::optional<platform::ReadResult> result) {
     if (!result) {
-      this->Refuse(exchange, kUnavailable, job, "the store does not answer");
+      this->Refuse(exchange, kServiceUnavailable, job,
+                   "the store does not answer");
       return;
     }
     if (result->rows.empty() || result->rows.front().at.key != job) {
-      this->Refuse(exchange, kNoJob, job, "there is no such job");
+      this->Refuse(exchange, kGone, job, "there is no such job");
       return;
     }
-    const auto kept = DecodeKept(result->rows.front().value);
-    if (!kept) {
+    const auto stored = DecodeKept(result->rows.front().value);
+    if (!stored) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
-      this->Refuse(exchange, kUnavailable, job, "its state cannot be read");
+      this->Refuse(exchange, kServiceUnavailable, job,
+                   "its state cannot be read");
       return;
     }
-    found(*kept);
+    on_found(*stored);
   });
 }
 
 void CallerApi::AnswerState(const http::ExchangePtr& exchange,
                             const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& kept) {
-        const auto progress = jobs::DecodeProgress(kept.text);
+      exchange, job, [this, exchange, job](const KeptProgress& stored) {
+        const auto progress = jobs::DecodeProgress(stored.text);
         if (!progress) {
           base::Log(base::Event::kRowMalformed, {{"row", job}});
-          this->Refuse(exchange, kUnavailable, job, "its state cannot be read");
+          this->Refuse(exchange, kServiceUnavailable, job,
+                       "its state cannot be read");
           return;
         }
         this->Reply(exchange, http::JsonResponse(
@@ -255,18 +266,18 @@
 void CallerApi::Cancel(const http::ExchangePtr& exchange,
                        const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& kept) {
-        const Shard shard{.number = kept.shard, .count = this->shards};
+      exchange, job, [this, exchange, job](const KeptProgress& stored) {
+        const Shard shard{.number = stored.shard, .count = this->shards};
         this->WriteCancel({.exchange = exchange,
                            .job = job,
                            .shard = shard,
-                           .tries = kCancelTries});
+                           .tries_left = kCancelAttempts});
       });
 }
 
 void CallerApi::WriteCancel(const Cancellation& cancel) {
-  // Nothing else writes this row, so that this can be done twice or late, also
-  // after the job is over.
+  // Unconditional: only cancellations write this row, so that the write may be
+  // repeated or arrive late, even after the job has finished.
   const platform::WriteBatch write{
       .conditions = {},
       .puts = {{.at = CancelRow(cancel.job, cancel.shard), .value = "1"}},
@@ -278,16 +289,16 @@
       return;
     }
     Cancellation next = cancel;
-    --next.tries;
+    --next.tries_left;
     if (result.outcome == platform::WriteOutcome::kUnknown)
-      next.uncertain = true;
-    if (next.tries > 0)
+      next.may_be_written = true;
+    if (next.tries_left > 0)
       this->WriteCancel(next);
-    else if (next.uncertain)
-      this->Refuse(cancel.exchange, kUnknownFate, cancel.job,
+    else if (next.may_be_written)
+      this->Refuse(cancel.exchange, kGatewayTimeout, cancel.job,
                    "it is not known whether the job is cancelled: ask again");
     else
-      this->Refuse(cancel.exchange, kUnavailable, cancel.job,
+      this->Refuse(cancel.exchange, kServiceUnavailable, cancel.job,
                    "the store does not take writes now");
   });
 }
@@ -299,10 +310,11 @@
       [this, exchange,
        queue](const std::optional<platform::TableContent>& content) {
         if (!content) {
-          this->Refuse(exchange, kUnavailable, "", "the store does not answer");
+          this->Refuse(exchange, kServiceUnavailable, "",
+                       "the store does not answer");
           return;
         }
-        // A queue that is new has no count yet.
+        // A new queue has no count yet and counts as 0.
         std::int64_t count = 0;
         for (const platform::Row& row : content->rows)
           count += CountOf(row.value, queue);
--- a/entry/caller_status.h
+++ b/entry/caller_status.h
@@ -1,4 +1,4 @@
-// The statuses that callers are answered with.
+// The HTTP statuses of responses to callers.
 
 #ifndef ENTRY_CALLER_STATUS_H_
 #define ENTRY_CALLER_STATUS_H_
@@ -7,13 +7,13 @@
 
 inline constexpr int kOk = 200;
 inline constexpr int kBadRequest = 400;
-inline constexpr int kNoKey = 401;
-inline constexpr int kNoQueue = 404;
-inline constexpr int kNoMethod = 405;
-inline constexpr int kNoJob = 410;
-inline constexpr int kTooLarge = 413;
-inline constexpr int kUnavailable = 503;  // nothing was done
-inline constexpr int kUnknownFate = 504;  // it may have been done
+inline constexpr int kUnauthorized = 401;
+inline constexpr int kNotFound = 404;
+inline constexpr int kMethodNotAllowed = 405;
+inline constexpr int kGone = 410;
+inline constexpr int kPayloadTooLarge = 413;
+inline constexpr int kServiceUnavailable = 503;  // not carried out
+inline constexpr int kGatewayTimeout = 504;      // may have been carried out
 
 }  // namespace quartzhoist::entry
 
--- a/entry/quota_records.h
+++ b/entry/quota_records.h
@@ -1,6 +1,6 @@
-// The rows in which the shards share organisations' quotas: reads, follows and
-// writes them for one owner. What is to be shared how is decided by
-// QuotaShares.
+// Reads, follows and writes the rows that divide the organisations' quotas
+// among the shards, for the owner of one shard. QuotaShares decides what to
+// write.
 
 #ifndef ENTRY_QUOTA_RECORDS_H_
 #define ENTRY_QUOTA_RECORDS_H_
@@ -22,50 +22,51 @@
 
 class QuotaRecords {
  public:
-  // `on_share`: what this shard may use of an organisation's quota from now on,
-  // in thousandths.
-  using OnShare =
+  // Receives the share of an organisation's quota that this shard may use from
+  // now on, in thousandths.
+  using OnShareChanged =
       std::function<void(const std::string& organisation, int share)>;
 
   QuotaRecords(base::Loop& loop,
                platform::Store& store,
                const Shard& shard,
                std::uint64_t epoch,
-               OnShare on_share);
+               OnShareChanged on_share_changed);
   ~QuotaRecords();
   QuotaRecords(const QuotaRecords&) = delete;
   QuotaRecords& operator=(const QuotaRecords&) = delete;
 
-  // Shares follow needs at a pace: is the next step due?
-  bool IsDue(base::Micros now) const { return now >= this->next_act; }
-  // The organisations with a quota, and how they stand.
-  void Act(const std::map<std::string, scheduler::QuotaNeed>& needs,
-           bool knows_all,
-           base::Micros now);
+  // Whether the update period has passed since the last Update.
+  bool IsDue(base::Micros now) const { return now >= this->next_update; }
+  // Adapts the shares to `needs`, by organisation with a quota.
+  // `usage_complete`: see QuotaShares::PlanWrites.
+  void Update(const std::map<std::string, scheduler::QuotaNeed>& needs,
+              bool usage_complete,
+              base::Micros now);
 
  private:
-  void Claim();
-  void Follow();
-  void TakeRow(const platform::Row& row);
+  void ClaimOwnership();
+  void StartFollower();
+  void ApplyRow(const platform::Row& row);
   void Write(const QuotaShares::Write& wanted);
-  void TakeWritten(const std::string& organisation,
-                   const platform::WriteResult& result);
-  void TellShares(const std::map<std::string, scheduler::QuotaNeed>& needs);
+  void OnWriteResult(const std::string& organisation,
+                     const platform::WriteResult& result);
+  void ReportShares(const std::map<std::string, scheduler::QuotaNeed>& needs);
 
   base::Loop& loop;
   platform::Store& store;
   Shard shard;
   std::uint64_t epoch = 0;
-  OnShare on_share;
+  OnShareChanged on_share_changed;
   QuotaShares shares;
   bool claiming = false;
-  std::uint64_t claimed_at = 0;  // the own row's version; 0: not written yet
-  bool known = false;            // the rows have been read since
+  std::uint64_t claim_version = 0;  // of this shard's owner row; 0: not claimed
+  bool rows_loaded = false;         // since the claim
   base::Micros next_claim{};
-  base::Micros next_act{};
-  std::map<std::string, int> told;  // by organisation
+  base::Micros next_update{};
+  std::map<std::string, int> reported_shares;  // by organisation
   std::unique_ptr<platform::TableFollower> follower;
-  // Calls still on their way when this is destroyed find it unset.
+  // Set to false on destruction; callbacks of calls in flight check it.
   std::shared_ptr<bool> alive;
 };
 
--- a/entry/quota_shares_test.cc
+++ b/entry/quota_shares_test.cc
@@ -1,5 +1,5 @@
-// A quota that several owners hold together is never passed, and nobody is
-// starved of what lies idle elsewhere.
+// The shards together never exceed a quota, and quota that is idle in one shard
+// becomes available to the others.
 
 #include <algorithm>
 #include <deque>
@@ -17,11 +17,11 @@
 namespace quartzhoist::entry {
 namespace {
 
-constexpr const char* kBees = "bees";
+constexpr const char* kOrganisation = "bees";
 
-// The quota is a thousand tasks, so that a share is a number of tasks. Owners
-// read late, and their writes are lost, late or refused; owners are replaced
-// while the earlier one's writes are on their way.
+// Model of several owners that share one row. The quota is 1000 tasks, so that
+// a share is a number of tasks. Reads are delayed; writes are lost, delayed or
+// refused; owners are replaced while writes of the earlier one are in flight.
 class QuotaModel {
  public:
   explicit QuotaModel(int shards) : count(shards) {
@@ -32,82 +32,89 @@
     }
   }
 
-  void SetDemand(int shard, int tasks) { this->demand[At(shard)] = tasks; }
-  int Used(int shard) const { return this->used[At(shard)]; }
-  int AllUsed() const {
+  void SetDemand(int shard, int tasks) { this->demand[IndexOf(shard)] = tasks; }
+  int Used(int shard) const { return this->used[IndexOf(shard)]; }
+  int TotalUsed() const {
     return std::accumulate(this->used.begin(), this->used.end(), 0);
   }
 
-  // The shard's owner sees the row as it is.
+  // The shard's owner reads the current row.
   void Read(int shard) {
     if (this->row)
-      this->owners[At(shard)].shares.Seen(kBees, this->row, this->version);
+      this->owners[IndexOf(shard)].shares.OnRowRead(kOrganisation, this->row,
+                                                    this->version);
   }
-  // Tasks end, others begin within the share.
+  // Ends tasks beyond the demand and starts others within the share.
   void Run(int shard) {
-    int& runs = this->used[At(shard)];
-    runs = std::min(runs, this->demand[At(shard)]);
-    const int share = this->owners[At(shard)].shares.ShareOf(kBees);
-    runs = std::max(runs, std::min(share, this->demand[At(shard)]));
+    int& runs = this->used[IndexOf(shard)];
+    runs = std::min(runs, this->demand[IndexOf(shard)]);
+    const int share =
+        this->owners[IndexOf(shard)].shares.ShareOf(kOrganisation);
+    runs = std::max(runs, std::min(share, this->demand[IndexOf(shard)]));
   }
-  void Decide(int shard) {
-    Owner& owner = this->owners[At(shard)];
-    const scheduler::QuotaNeed need{.used = this->used[At(shard)],
-                                    .wanted = this->demand[At(shard)]};
+  void PlanWrites(int shard) {
+    Owner& owner = this->owners[IndexOf(shard)];
+    const scheduler::QuotaNeed need{.used = this->used[IndexOf(shard)],
+                                    .wanted = this->demand[IndexOf(shard)]};
     for (QuotaShares::Write& write :
-         owner.shares.Decide({{kBees, need}}, owner.knows_all))
-      this->on_way.push_back({shard, owner.life, std::move(write)});
+         owner.shares.PlanWrites({{kOrganisation, need}}, owner.usage_complete))
+      this->in_flight.push_back({shard, owner.incarnation, std::move(write)});
   }
-  enum class Fate { kAnswered, kUnanswered, kGivenUpFirst, kLost };
-  // One write that is on its way arrives, or is given up.
-  void Deliver(std::size_t which, Fate fate) {
-    if (this->on_way.empty())
+  enum class WriteResult { kAnswered, kUnanswered, kTimedOut, kLost };
+  // Delivers, loses or times out one of the writes in flight.
+  void Deliver(std::size_t which, WriteResult result) {
+    if (this->in_flight.empty())
       return;
-    const auto at = this->on_way.begin() +
-                    static_cast<std::ptrdiff_t>(which % this->on_way.size());
-    if (fate == Fate::kGivenUpFirst) {
-      this->Settle(*at, std::nullopt);
-      at->is_given_up = true;  // it may still arrive
+    const auto at = this->in_flight.begin() +
+                    static_cast<std::ptrdiff_t>(which % this->in_flight.size());
+    if (result == WriteResult::kTimedOut) {
+      this->FinishWrite(*at, std::nullopt);
+      at->timed_out = true;  // it may still arrive
       return;
     }
-    const OnWay sent = *at;
-    this->on_way.erase(at);
-    if (fate == Fate::kLost) {
-      this->Settle(sent, std::nullopt);
+    const InFlightWrite sent = *at;
+    this->in_flight.erase(at);
+    if (result == WriteResult::kLost) {
+      this->FinishWrite(sent, std::nullopt);
       return;
     }
-    const bool fits = sent.write.version == this->version &&
-                      sent.life == this->owners[At(sent.shard)].life;
-    if (fits) {
+    const bool applies =
+        sent.write.version == this->version &&
+        sent.incarnation == this->owners[IndexOf(sent.shard)].incarnation;
+    if (applies) {
       this->row = sent.write.row;
       ++this->version;
     }
-    if (fate == Fate::kUnanswered)
+    if (result == WriteResult::kUnanswered)
       return;
-    this->Settle(sent, fits ? std::optional(this->version) : std::nullopt);
-    if (!fits && !sent.is_given_up)
+    this->FinishWrite(sent,
+                      applies ? std::optional(this->version) : std::nullopt);
+    if (!applies && !sent.timed_out)
       this->Read(sent.shard);
   }
-  // Another owner: it writes the shard's own row, then reads. What runs it
-  // knows in full only later.
+  // Replaces the shard's owner. The new one claims the shard's owner row, then
+  // reads; it does not know all runs of the shard yet.
   void TakeOver(int shard) {
-    Owner& owner = this->owners[At(shard)];
-    const int life = owner.life + 1;
-    owner = {QuotaShares({.number = shard, .count = this->count}), life, false};
+    Owner& owner = this->owners[IndexOf(shard)];
+    const int incarnation = owner.incarnation + 1;
+    owner = {QuotaShares({.number = shard, .count = this->count}), incarnation,
+             false};
     this->Read(shard);
   }
-  void Learn(int shard) { this->owners[At(shard)].knows_all = true; }
+  void CompleteUsage(int shard) {
+    this->owners[IndexOf(shard)].usage_complete = true;
+  }
 
-  // Everything goes well for a while.
-  void Calm() {
-    for (int turn = 0; turn < 12; ++turn) {
+  // Twelve rounds in which every read and write succeeds.
+  void RunWithoutFaults() {
+    for (int round = 0; round < 12; ++round) {
       for (int shard = 0; shard < this->count; ++shard) {
-        this->Learn(shard);
+        this->CompleteUsage(shard);
         this->Read(shard);
         this->Run(shard);
-        this->Decide(shard);
-        while (!this->on_way.empty())
-          this->Deliver(0, Fate::kAnswered);
+        this->PlanWrites(shard);
+        while (!this->in_flight.empty())
+          this->Deliver(0, WriteResult::kAnswered);
       }
     }
   }
@@ -115,21 +122,24 @@
  private:
   struct Owner {
     QuotaShares shares;
-    int life = 0;
-    bool knows_all = true;
+    int incarnation = 0;
+    bool usage_complete = true;
   };
-  struct OnWay {
+  struct InFlightWrite {
     int shard = 0;
-    int life = 0;
+    int incarnation = 0;
     QuotaShares::Write write;
-    bool is_given_up = false;
+    bool timed_out = false;
   };
 
-  static std::size_t At(int shard) { return static_cast<std::size_t>(shard); }
-  void Settle(const OnWay& sent, std::optional<std::uint64_t> done_at) {
-    Owner& owner = this->owners[At(sent.shard)];
-    if (owner.life == sent.life && !sent.is_given_up)
-      owner.shares.Settled(kBees, done_at);
+  static std::size_t IndexOf(int shard) {
+    return static_cast<std::size_t>(shard);
+  }
+  void FinishWrite(const InFlightWrite& sent,
+                   std::optional<std::uint64_t> written_version) {
+    Owner& owner = this->owners[IndexOf(sent.shard)];
+    if (owner.incarnation == sent.incarnation && !sent.timed_out)
+      owner.shares.OnWriteFinished(kOrganisation, written_version);
   }
 
   int count;
@@ -138,7 +148,7 @@
   std::vector<int> used;
   std::optional<QuotaRow> row;
   std::uint64_t version = 0;
-  std::deque<OnWay> on_way;
+  std::deque<InFlightWrite> in_flight;
 };
 
 BOOST_AUTO_TEST_CASE(SharesAreNeverPassedInSum) {
@@ -156,7 +166,7 @@
           model.TakeOver(shard);
           break;
         case 2:
-          model.Learn(shard);
+          model.CompleteUsage(shard);
           break;
         case 3:
           model.Read(shard);
@@ -165,23 +175,24 @@
           model.Run(shard);
           break;
         case 5:
-          model.Decide(shard);
+          model.PlanWrites(shard);
           break;
         default:
           model.Deliver(*rc::gen::inRange<std::size_t>(0, 9),
-                        *rc::gen::element(QuotaModel::Fate::kAnswered,
-                                          QuotaModel::Fate::kUnanswered,
-                                          QuotaModel::Fate::kGivenUpFirst,
-                                          QuotaModel::Fate::kLost));
+                        *rc::gen::element(QuotaModel::WriteResult::kAnswered,
+                                          QuotaModel::WriteResult::kUnanswered,
+                                          QuotaModel::WriteResult::kTimedOut,
+                                          QuotaModel::WriteResult::kLost));
           break;
       }
-      RC_ASSERT(model.AllUsed() <= scheduler::kWholeQuota);
+      RC_ASSERT(model.TotalUsed() <= scheduler::kWholeQuota);
     }
   });
   BOOST_TEST(holds);
 }
 
-// Whatever came before: what lies idle in one shard is used by another.
+// After any history of delayed and timed-out writes, a shard with demand gets
+// the quota that the other shards leave idle.
 BOOST_AUTO_TEST_CASE(NobodyIsStarvedOfWhatLiesIdle) {
   const bool holds = rc::check("demand below the quota is served", [] {
     const int shards = *rc::gen::element(2, 4, 8);
@@ -191,31 +202,31 @@
       const int shard = *rc::gen::inRange(0, shards);
       model.SetDemand(shard, *rc::gen::inRange(0, 1200));
       model.Run(shard);
-      model.Decide(shard);
+      model.PlanWrites(shard);
       model.Deliver(*rc::gen::inRange<std::size_t>(0, 9),
-                    *rc::gen::element(QuotaModel::Fate::kAnswered,
-                                      QuotaModel::Fate::kGivenUpFirst));
+                    *rc::gen::element(QuotaModel::WriteResult::kAnswered,
+                                      QuotaModel::WriteResult::kTimedOut));
     }
     for (int shard = 0; shard < shards; ++shard)
       model.SetDemand(shard, 0);
     const int busy = *rc::gen::inRange(0, shards);
     model.SetDemand(busy, 1000 - 20 * shards);
-    model.Calm();
+    model.RunWithoutFaults();
     RC_ASSERT(model.Used(busy) == 1000 - 20 * shards);
-    // The others come back: each gets an equal share in time.
+    // Demand returns in all shards: together they use the quota again.
     for (int shard = 0; shard < shards; ++shard)
       model.SetDemand(shard, 1000);
     model.SetDemand(busy, 0);
-    model.Calm();
+    model.RunWithoutFaults();
     model.SetDemand(busy, 1000);
-    model.Calm();
-    RC_ASSERT(model.AllUsed() <= 1000);
-    RC_ASSERT(model.AllUsed() >= 1000 - 20 * shards);
+    model.RunWithoutFaults();
+    RC_ASSERT(model.TotalUsed() <= 1000);
+    RC_ASSERT(model.TotalUsed() >= 1000 - 20 * shards);
   });
   BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(QuotaRowsAreReadAsTheyWereWritten) {
+BOOST_AUTO_TEST_CASE(QuotaRowsRoundTripAndMalformedOnesAreRejected) {
   const QuotaRow row{.shares = {300, 700}, .wants = {0, 900}};
   BOOST_CHECK(DecodeQuotaRow(EncodeQuotaRow(row), 2) == row);
   for (const char* text :
@@ -227,13 +238,15 @@
   }
 }
 
-// A row that another writer has spoilt raises nobody's share.
-BOOST_AUTO_TEST_CASE(RowThatCannotBeReadRaisesNoShare) {
+// A malformed row counts as equal shares; if that raised a lowered share, the
+// shards together could exceed the quota.
+BOOST_AUTO_TEST_CASE(MalformedRowRaisesNoShare) {
   QuotaShares shares({.number = 0, .count = 2});
-  shares.Seen(kBees, QuotaRow{.shares = {200, 800}, .wants = {0, 0}}, 5);
-  BOOST_TEST(shares.ShareOf(kBees) == 200);
-  shares.Seen(kBees, std::nullopt, 6);
-  BOOST_TEST(shares.ShareOf(kBees) == 200);
+  shares.OnRowRead(kOrganisation,
+                   QuotaRow{.shares = {200, 800}, .wants = {0, 0}}, 5);
+  BOOST_TEST(shares.ShareOf(kOrganisation) == 200);
+  shares.OnRowRead(kOrganisation, std::nullopt, 6);
+  BOOST_TEST(shares.ShareOf(kOrganisation) == 200);
 }
 
 }  // namespace
