--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -147,7 +147,7 @@
                 this->Gained(shard, epoch, earlier_confirmed);
               },
           .on_lost = [this](int shard) { this->Lost(shard); },
-          .on_confirmed =
+          .on_renewed =
               [this](int shard, base::Micros asked) {
                 ManagedShard& one = this->At(shard);
                 if (one.manager)
@@ -236,7 +236,7 @@
           .orders_until = [this, shard] { return this->OrdersUntil(shard); },
           .certain_until = [this, shard] { return this->CertainUntil(shard); },
           .on_fenced = [this,
-                        shard] { this->ownerships->At(shard).Fenced(); }});
+                        shard] { this->ownerships->At(shard).OnFenced(); }});
   for (const auto& [number, wave] : this->waves)
     one.manager->SetWave(wave);
   if (this->has_config)
@@ -255,7 +255,7 @@
 // An owner that has lost the ownership is only destroyed a moment later.
 base::Micros JobDaemon::CertainUntil(int shard) const {
   const Ownership& ownership = this->ownerships->At(shard);
-  return ownership.holds() ? ownership.certain_until() : base::Micros::zero();
+  return ownership.holds() ? ownership.valid_until() : base::Micros::zero();
 }
 
 // Where workers refuse the orders of an earlier owner, one that is not certain
--- a/entry/owner_lease.cc
+++ b/entry/owner_lease.cc
@@ -10,40 +10,41 @@
 // The last order leaves this long before another may take over: steady clocks
 // that differ by 2% over the silence (26 ms), the way to a worker (some ms),
 // and a loop that turns late on a slow box.
-constexpr base::Micros kOrderSlack = std::chrono::milliseconds(150);
+constexpr base::Micros kOrderMargin = std::chrono::milliseconds(150);
 
 }  // namespace
 
 // The row may be written at any time after the first try was asked for, and the
 // others count from then. A later try of the same beat therefore extends
 // nothing.
-void OwnerLease::Asked(std::uint64_t epoch,
-                       std::uint64_t beat,
-                       base::Micros now,
-                       base::Micros silence) {
-  const auto [entry, is_first] = this->open.try_emplace({epoch, beat});
-  Tries& tries = entry->second;
+void OwnerLease::OnRenewalSent(std::uint64_t epoch,
+                               std::uint64_t sequence,
+                               base::Micros now,
+                               base::Micros silence) {
+  const auto [entry, is_first] = this->pending.try_emplace({epoch, sequence});
+  Attempts& attempts = entry->second;
   if (is_first) {
-    tries.first = now;
-    tries.end = now + silence - kOrderSlack;
+    attempts.first_sent = now;
+    attempts.expiry = now + silence - kOrderMargin;
   }
-  ++tries.count;
+  ++attempts.count;
 }
 
 // The fate of earlier tries of the same beat stays open.
-void OwnerLease::NotMade(std::uint64_t epoch, std::uint64_t beat) {
-  const auto found = this->open.find({epoch, beat});
-  if (found != this->open.end() && found->second.count == 1)
-    this->open.erase(found);
+void OwnerLease::OnRenewalNotWritten(std::uint64_t epoch,
+                                     std::uint64_t sequence) {
+  const auto found = this->pending.find({epoch, sequence});
+  if (found != this->pending.end() && found->second.count == 1)
+    this->pending.erase(found);
 }
 
-void OwnerLease::Made(std::uint64_t epoch, std::uint64_t beat) {
-  const auto found = this->open.find({epoch, beat});
-  if (found == this->open.end())
+void OwnerLease::OnRenewalWritten(std::uint64_t epoch, std::uint64_t sequence) {
+  const auto found = this->pending.find({epoch, sequence});
+  if (found == this->pending.end())
     return;
-  this->until = std::max(this->until, found->second.end);
-  this->confirmed_at = std::max(this->confirmed_at, found->second.first);
-  this->open.erase(this->open.begin(), std::next(found));
+  this->expiry = std::max(this->expiry, found->second.expiry);
+  this->renewed_at = std::max(this->renewed_at, found->second.first_sent);
+  this->pending.erase(this->pending.begin(), std::next(found));
 }
 
 }  // namespace quartzhoist::entry
--- a/entry/owner_lease.h
+++ b/entry/owner_lease.h
@@ -17,32 +17,32 @@
  public:
   // A confirmation with this beat is about to be written; others take over no
   // sooner than `silence` after it has been.
-  void Asked(std::uint64_t epoch,
-             std::uint64_t beat,
-             base::Micros now,
-             base::Micros silence);
+  void OnRenewalSent(std::uint64_t epoch,
+                     std::uint64_t sequence,
+                     base::Micros now,
+                     base::Micros silence);
   // The last try has not been written, and never will be.
-  void NotMade(std::uint64_t epoch, std::uint64_t beat);
+  void OnRenewalNotWritten(std::uint64_t epoch, std::uint64_t sequence);
   // The row holds it.
-  void Made(std::uint64_t epoch, std::uint64_t beat);
+  void OnRenewalWritten(std::uint64_t epoch, std::uint64_t sequence);
 
   // Orders may leave before this; zero before the first confirmation.
-  base::Micros certain_until() const { return this->until; }
+  base::Micros valid_until() const { return this->expiry; }
   // When the newest confirmation that the row holds was first asked for: what a
   // later holder can tell of this one's, whatever answers were lost.
-  base::Micros confirmed() const { return this->confirmed_at; }
+  base::Micros last_renewal() const { return this->renewed_at; }
 
  private:
-  struct Tries {
-    base::Micros first{};  // when the first try was asked for
-    base::Micros end{};    // that it gives
+  struct Attempts {
+    base::Micros first_sent{};  // when the first try was asked for
+    base::Micros expiry{};      // that it gives
     int count = 0;
   };
 
   // Confirmations whose fate is open, by epoch and beat.
-  std::map<std::pair<std::uint64_t, std::uint64_t>, Tries> open;
-  base::Micros until{};
-  base::Micros confirmed_at{};
+  std::map<std::pair<std::uint64_t, std::uint64_t>, Attempts> pending;
+  base::Micros expiry{};
+  base::Micros renewed_at{};
 };
 
 }  // namespace quartzhoist::entry
--- a/entry/ownership.cc
+++ b/entry/ownership.cc
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 
 #include "base/event_log.h"
-#include "entry/beats.h"
+#include "entry/renewal_schedule.h"
 #include "entry/timing.h"
 
 namespace quartzhoist::entry {
@@ -15,27 +15,27 @@
 
 using std::chrono::milliseconds;
 
-constexpr base::Micros kLookPeriod = milliseconds(50);
+constexpr base::Micros kTickPeriod = milliseconds(50);
 // A beat that is nearer than this is passed over.
-constexpr base::Micros kLeastBetween = milliseconds(250);
-constexpr base::Micros kRenewalAgain = milliseconds(150);
+constexpr base::Micros kMinRenewalGap = milliseconds(250);
+constexpr base::Micros kRenewalRetryDelay = milliseconds(150);
 // Followers wait so much longer at most.
-constexpr std::int64_t kSpreadMillis = 200;
+constexpr std::int64_t kTakeoverJitterMillis = 200;
 // A daemon whose box is weaker than the last holder's by more than this factor
 // waits so much longer: a stronger one, if any is left, goes first.
-constexpr double kMuchStronger = 1.5;
-constexpr base::Micros kWeakerWaits = milliseconds(400);
+constexpr double kMuchStrongerFactor = 1.5;
+constexpr base::Micros kWeakerBoxDelay = milliseconds(400);
 // A holder on a much weaker box is relieved after it has held for this: each
 // change of holders interrupts placement for some 0.3 s.
-constexpr base::Micros kRelieveAfter = std::chrono::seconds(2);
+constexpr base::Micros kHandoverRequestDelay = std::chrono::seconds(2);
 // The row is read once it has not changed for this: a feed without news answers
 // after 1.5 s only, and the silence of a store that answers nobody is none of
 // the holder. Leaves a slow store (60 times 4 ms) 0.3 s until a takeover is
 // due.
-constexpr base::Micros kLookAfter = milliseconds(1000);
+constexpr base::Micros kReadRowAfter = milliseconds(1000);
 // A gap between the store's answers after which the silence counts anew: the
 // holder may have confirmed meanwhile.
-constexpr base::Micros kAnswerGap = milliseconds(2600);
+constexpr base::Micros kMaxAnswerGap = milliseconds(2600);
 
 }  // namespace
 
@@ -51,99 +51,101 @@
       id(std::move(who)),
       random(seed),
       events(std::move(handlers)),
-      timer(loop, [this] { this->Act(); }) {
+      timer(loop, [this] { this->OnTick(); }) {
   this->incarnation = fmt::format("{:016x}", this->random());
   this->unchanged_since = base::MonotonicNow();
-  this->patience_draw = this->DrawPatience();
-  this->timer.StartEvery(kLookPeriod);
+  this->takeover_jitter = this->DrawTakeoverJitter();
+  this->timer.StartEvery(kTickPeriod);
 }
 
-void Ownership::StoreAnswered() {
+void Ownership::OnStoreAnswered() {
   const base::Micros now = base::MonotonicNow();
-  if (now - this->last_answer > kAnswerGap)
+  if (now - this->last_answer > kMaxAnswerGap)
     this->unchanged_since = now;
   this->last_answer = now;
 }
 
-void Ownership::StoreSilent() {
+void Ownership::OnFeedLost() {
   this->unchanged_since = base::MonotonicNow();
 }
 
-void Ownership::SeeRow(const platform::Row& shown, bool removed) {
-  if (shown.at != this->row || shown.version <= this->version)
+void Ownership::OnRow(const platform::Row& received, bool removed) {
+  if (received.at != this->row || received.version <= this->version)
     return;
-  const std::optional<OwnerRecord> seen = DecodeOwner(shown.value);
-  if (removed || !seen)
+  const std::optional<OwnerRecord> decoded = DecodeOwner(received.value);
+  if (removed || !decoded)
     return;
   const base::Micros now = base::MonotonicNow();
-  if (seen->epoch != this->record.epoch)
+  if (decoded->epoch != this->record.epoch)
     this->holder_since = now;
-  const bool mine = this->NamesThis(*seen);
-  if (!mine)
-    this->earlier_confirmed = now;
-  this->version = shown.version;
-  this->record = *seen;
+  const bool is_own = this->IsOwn(*decoded);
+  if (!is_own)
+    this->previous_owner_renewal = now;
+  this->version = received.version;
+  this->record = *decoded;
   this->unchanged_since = now;
-  this->patience_draw = this->DrawPatience();
-  if (mine)
-    this->lease.Made(seen->epoch, seen->beat);
-  if (this->holding && !mine)
+  this->takeover_jitter = this->DrawTakeoverJitter();
+  if (is_own)
+    this->lease.OnRenewalWritten(decoded->epoch, decoded->beat);
+  if (this->is_holder && !is_own)
     this->Lose();
   // An own write whose answer was lost.
-  if (!this->holding && mine && !this->released && !this->writing)
-    this->Gain();
-  if (this->holding && !seen->successor.empty())
-    this->MakeWay();
+  if (!this->is_holder && is_own && !this->released && !this->is_write_pending)
+    this->Acquire();
+  if (this->is_holder && !decoded->successor.empty())
+    this->HandOver();
 }
 
-bool Ownership::NamesThis(const OwnerRecord& seen) const {
-  return seen.holder == this->id && seen.incarnation == this->incarnation;
+bool Ownership::IsOwn(const OwnerRecord& other) const {
+  return other.holder == this->id && other.incarnation == this->incarnation;
 }
 
 bool Ownership::IsMuchStronger() const {
-  return this->events.cores() > kMuchStronger * this->record.cores;
+  return this->events.cores() > kMuchStrongerFactor * this->record.cores;
 }
 
 // Drawn anew each time, so that one daemon takes over and the others see it.
-base::Micros Ownership::DrawPatience() {
+base::Micros Ownership::DrawTakeoverJitter() {
   const bool is_free = this->version == 0 || this->record.holder.empty();
-  const std::int64_t spread = is_free ? kFreeSpreadMillis : kSpreadMillis;
+  const std::int64_t spread =
+      is_free ? kFreeSpreadMillis : kTakeoverJitterMillis;
   return milliseconds(this->random() % spread);
 }
 
 // A daemon that has come to hold another shard meanwhile waits longer.
-base::Micros Ownership::Patience() const {
+base::Micros Ownership::TakeoverDelay() const {
   const double cores = this->events.cores();
   if (this->version == 0)
-    return FirstWait(cores) + this->patience_draw;
-  const bool is_weak = this->record.cores > kMuchStronger * cores;
-  return this->patience_draw + (is_weak ? kWeakerWaits : base::Micros::zero());
+    return FirstWait(cores) + this->takeover_jitter;
+  const bool is_weak = this->record.cores > kMuchStrongerFactor * cores;
+  return this->takeover_jitter +
+         (is_weak ? kWeakerBoxDelay : base::Micros::zero());
 }
 
-bool Ownership::ShouldTake(base::Micros now) const {
-  if (!this->known || this->released)
+bool Ownership::ShouldTakeOver(base::Micros now) const {
+  if (!this->table_read || this->released)
     return false;
   // The store must be answering: else the holder's silence says nothing.
-  if (now - this->last_answer > kAnswerGap)
+  if (now - this->last_answer > kMaxAnswerGap)
     return false;
   const base::Micros silent = now - this->unchanged_since;
   const bool is_seen_silent =
-      this->last_answer >= this->unchanged_since + kLookAfter;
+      this->last_answer >= this->unchanged_since + kReadRowAfter;
   const bool is_free = this->version == 0 || this->record.holder.empty();
   const bool was_own = this->record.holder == this->id;
   if (is_free || was_own)
-    return silent >= this->Patience();
-  return is_seen_silent && silent >= kOwnerSilence + this->Patience();
+    return silent >= this->TakeoverDelay();
+  return is_seen_silent && silent >= kOwnerSilence + this->TakeoverDelay();
 }
 
-bool Ownership::ShouldLook(base::Micros now) const {
-  return this->known && !this->released && !this->looking &&
-         this->version > 0 && now >= this->unchanged_since + kLookAfter &&
-         this->last_answer < this->unchanged_since + kLookAfter;
+bool Ownership::ShouldReadRow(base::Micros now) const {
+  return this->table_read && !this->released && !this->is_read_pending &&
+         this->version > 0 && now >= this->unchanged_since + kReadRowAfter &&
+         this->last_answer < this->unchanged_since + kReadRowAfter;
 }
 
-void Ownership::Look() {
-  this->looking = true;
+void Ownership::ReadRow() {
+  this->is_read_pending = true;
   const platform::ReadQuery query{.table = this->row.table,
                                   .part = this->row.part,
                                   .from = this->row.key,
@@ -151,26 +153,27 @@
                                   .limit = 1};
   this->store.Read(query,
                    [this](const std::optional<platform::ReadResult>& result) {
-                     this->looking = false;
+                     this->is_read_pending = false;
                      if (!result)
                        return;
                      for (const platform::Row& found : result->rows)
-                       this->SeeRow(found, false);
-                     this->StoreAnswered();
+                       this->OnRow(found, false);
+                     this->OnStoreAnswered();
                    });
 }
 
 // A holder on a much weaker box is asked to give up, once; it is not taken over
 // while it lives, since what it orders may be on its way.
-bool Ownership::ShouldAskForWay(base::Micros now) const {
-  return this->known && !this->released && this->version > 0 &&
+bool Ownership::ShouldRequestHandover(base::Micros now) const {
+  return this->table_read && !this->released && this->version > 0 &&
          !this->record.holder.empty() && this->record.holder != this->id &&
          this->record.successor.empty() && this->IsMuchStronger() &&
-         now - this->last_answer <= kAnswerGap &&
-         now - this->holder_since >= kRelieveAfter + this->Patience();
+         now - this->last_answer <= kMaxAnswerGap &&
+         now - this->holder_since >=
+             kHandoverRequestDelay + this->TakeoverDelay();
 }
 
-void Ownership::AskForWay() {
+void Ownership::RequestHandover() {
   OwnerRecord next = this->record;
   next.successor = this->id;
   next.cores = this->events.cores();
@@ -179,18 +182,18 @@
 
 // The successor's cores stand in the row that it leaves, so that no weaker
 // daemon is quicker.
-void Ownership::MakeWay() {
-  this->makes_way = true;
+void Ownership::HandOver() {
+  this->is_handing_over = true;
   this->Lose();
-  if (!this->writing)
+  if (!this->is_write_pending)
     this->WriteRelease();
 }
 
-void Ownership::Act() {
+void Ownership::OnTick() {
   const base::Micros now = base::MonotonicNow();
-  if (this->writing)
+  if (this->is_write_pending)
     return;
-  if (this->holding) {
+  if (this->is_holder) {
     if (now < this->next_renewal)
       return;
     OwnerRecord next = this->record;
@@ -200,13 +203,13 @@
     this->Write(next, false);
     return;
   }
-  if (this->ShouldAskForWay(now)) {
-    this->AskForWay();
+  if (this->ShouldRequestHandover(now)) {
+    this->RequestHandover();
     return;
   }
-  if (this->ShouldLook(now))
-    this->Look();
-  if (!this->ShouldTake(now))
+  if (this->ShouldReadRow(now))
+    this->ReadRow();
+  if (!this->ShouldTakeOver(now))
     return;
   this->Write({.holder = this->id,
                .incarnation = this->incarnation,
@@ -218,120 +221,120 @@
               true);
 }
 
-base::Micros Ownership::UntilRenewal(base::Micros now) const {
+base::Micros Ownership::NextRenewalDelay(base::Micros now) const {
   if (this->is_single || !this->store.knows_clock())
-    return kBeat;
-  return UntilBeat(this->store.StoreMillis(now), kLeastBetween);
+    return kRenewalPeriod;
+  return TimeUntilRenewal(this->store.StoreMillis(now), kMinRenewalGap);
 }
 
-void Ownership::Write(const OwnerRecord& next, bool taking) {
-  const base::Micros asked = base::MonotonicNow();
-  this->writing = true;
-  this->taking_now = taking;
-  this->next_renewal = asked + this->UntilRenewal(asked);
-  if (this->NamesThis(next))
-    this->lease.Asked(next.epoch, next.beat, asked, kOwnerSilence);
+void Ownership::Write(const OwnerRecord& next, bool is_takeover) {
+  const base::Micros sent_at = base::MonotonicNow();
+  this->is_write_pending = true;
+  this->takeover_pending = is_takeover;
+  this->next_renewal = sent_at + this->NextRenewalDelay(sent_at);
+  if (this->IsOwn(next))
+    this->lease.OnRenewalSent(next.epoch, next.beat, sent_at, kOwnerSilence);
   const platform::WriteBatch batch{
       .conditions = {{.at = this->row, .version = this->version}},
       .puts = {{.at = this->row, .value = EncodeOwner(next)}},
       .removes = {}};
-  this->store.Write(batch,
-                    [this, next, taking](const platform::WriteResult& result) {
-                      this->TakeAnswer(result, next, taking);
-                    });
+  this->store.Write(
+      batch, [this, next, is_takeover](const platform::WriteResult& result) {
+        this->OnWriteResult(result, next, is_takeover);
+      });
 }
 
-void Ownership::TakeAnswer(const platform::WriteResult& result,
-                           const OwnerRecord& next,
-                           bool taking) {
+void Ownership::OnWriteResult(const platform::WriteResult& result,
+                              const OwnerRecord& next,
+                              bool is_takeover) {
   const base::Micros now = base::MonotonicNow();
-  this->writing = false;
-  this->taking_now = false;
-  this->Settle(result, next, taking, now);
+  this->is_write_pending = false;
+  this->takeover_pending = false;
+  this->ApplyWriteResult(result, next, is_takeover, now);
   // The row showed the takeover before its write was answered, or given up.
-  if (taking && this->NamesThis(this->record) && !this->holding &&
+  if (is_takeover && this->IsOwn(this->record) && !this->is_holder &&
       !this->released)
-    this->Gain();
+    this->Acquire();
   // The stop came while another write was on its way.
   const bool may_be_written =
       result.outcome != platform::WriteOutcome::kNotDone &&
       result.outcome != platform::WriteOutcome::kRefused;
-  const bool gives_up = this->released || this->makes_way;
-  const bool still_named = gives_up && !this->writing &&
-                           this->NamesThis(this->record) && may_be_written;
+  const bool gives_up = this->released || this->is_handing_over;
+  const bool still_named = gives_up && !this->is_write_pending &&
+                           this->IsOwn(this->record) && may_be_written;
   if (still_named)
     this->WriteRelease();
 }
 
-void Ownership::Settle(const platform::WriteResult& result,
-                       const OwnerRecord& next,
-                       bool taking,
-                       base::Micros now) {
-  const bool is_own = this->NamesThis(next);
+void Ownership::ApplyWriteResult(const platform::WriteResult& result,
+                                 const OwnerRecord& next,
+                                 bool is_takeover,
+                                 base::Micros now) {
+  const bool is_own = this->IsOwn(next);
   switch (result.outcome) {
     case platform::WriteOutcome::kDone:
       if (is_own)
-        this->lease.Made(next.epoch, next.beat);
+        this->lease.OnRenewalWritten(next.epoch, next.beat);
       if (result.version > this->version) {
         this->version = result.version;
         this->record = next;
         this->unchanged_since = now;
       }
-      if (taking && !this->released)
-        this->Gain();
-      else if (this->holding)
-        this->events.on_confirmed(this->lease.confirmed());
+      if (is_takeover && !this->released)
+        this->Acquire();
+      else if (this->is_holder)
+        this->events.on_renewed(this->lease.last_renewal());
       return;
     case platform::WriteOutcome::kConflict:
       if (is_own)
-        this->lease.NotMade(next.epoch, next.beat);
-      this->TakeConflict(result);
+        this->lease.OnRenewalNotWritten(next.epoch, next.beat);
+      this->OnConflict(result);
       return;
     case platform::WriteOutcome::kUnknown:
       // The wait for its answer was long enough.
       this->next_renewal = now;
-      this->unchanged_since = taking ? now : this->unchanged_since;
+      this->unchanged_since = is_takeover ? now : this->unchanged_since;
       return;
     case platform::WriteOutcome::kNotDone:
     case platform::WriteOutcome::kRefused:
       if (is_own)
-        this->lease.NotMade(next.epoch, next.beat);
-      this->next_renewal = now + kRenewalAgain;
-      this->unchanged_since = taking ? now : this->unchanged_since;
+        this->lease.OnRenewalNotWritten(next.epoch, next.beat);
+      this->next_renewal = now + kRenewalRetryDelay;
+      this->unchanged_since = is_takeover ? now : this->unchanged_since;
       return;
   }
 }
 
-void Ownership::TakeConflict(const platform::WriteResult& result) {
-  for (const platform::Row& there : result.rows)
-    this->SeeRow(there, false);
+void Ownership::OnConflict(const platform::WriteResult& result) {
+  for (const platform::Row& current : result.rows)
+    this->OnRow(current, false);
   this->unchanged_since = base::MonotonicNow();
   // An own write whose answer was lost was in the way: the row still names
   // this daemon.
-  if (this->holding && !result.rows.empty() &&
+  if (this->is_holder && !result.rows.empty() &&
       result.rows.front().version == this->version)
-    this->events.on_confirmed(this->lease.confirmed());
+    this->events.on_renewed(this->lease.last_renewal());
 }
 
-void Ownership::Gain() {
-  if (this->holding || this->record.epoch <= this->lost_epoch)
+void Ownership::Acquire() {
+  if (this->is_holder || this->record.epoch <= this->lost_epoch)
     return;
-  this->holding = true;
-  this->makes_way = false;
+  this->is_holder = true;
+  this->is_handing_over = false;
   this->held_epoch = this->record.epoch;
   base::Log(base::Event::kOwnershipGained, {{"shard", this->row.part},
                                             {"epoch", this->record.epoch},
                                             {"version", this->version}});
-  this->events.on_gained(this->record.epoch, this->earlier_confirmed);
-  this->events.on_confirmed(this->lease.confirmed());
+  this->events.on_gained(this->record.epoch, this->previous_owner_renewal);
+  this->events.on_renewed(this->lease.last_renewal());
 }
 
 void Ownership::Lose() {
-  if (!this->holding)
+  if (!this->is_holder)
     return;
-  this->holding = false;
-  this->earlier_confirmed =
-      std::max(this->earlier_confirmed, this->lease.confirmed());
+  this->is_holder = false;
+  this->previous_owner_renewal =
+      std::max(this->previous_owner_renewal, this->lease.last_renewal());
   this->lost_epoch = this->held_epoch;
   base::Log(base::Event::kOwnershipLost, {{"shard", this->row.part},
                                           {"epoch", this->record.epoch},
@@ -339,7 +342,7 @@
   this->events.on_lost();
 }
 
-void Ownership::Fenced() {
+void Ownership::OnFenced() {
   // The row tells the new holder soon; until then nothing is confirmed.
   this->Lose();
   this->unchanged_since = base::MonotonicNow();
@@ -347,10 +350,10 @@
 
 void Ownership::Release() {
   this->released = true;
-  if (!this->holding)
+  if (!this->is_holder)
     return;
   this->Lose();
-  if (!this->writing)
+  if (!this->is_write_pending)
     this->WriteRelease();
 }
 
--- a/entry/ownership.h
+++ b/entry/ownership.h
@@ -22,13 +22,14 @@
 class Ownership {
  public:
   struct Events {
-    // No holder before this one was confirmed after `earlier_confirmed`.
-    std::function<void(std::uint64_t epoch, base::Micros earlier_confirmed)>
+    // No holder before this one was confirmed after `previous_owner_renewal`.
+    std::function<void(std::uint64_t epoch,
+                       base::Micros previous_owner_renewal)>
         on_gained;
     std::function<void()> on_lost;
     // The row holds a confirmation that was first asked for at `asked`; calls
-    // for boxes leave before certain_until().
-    std::function<void(base::Micros asked)> on_confirmed;
+    // for boxes leave before valid_until().
+    std::function<void(base::Micros sent_at)> on_renewed;
     // The share of a processor that this daemon has for the shard: one with
     // more takes the ownership from one with much less.
     std::function<double()> cores;
@@ -46,51 +47,51 @@
 
   // --- The owner table's news, from whoever follows it ---
   // All its rows have been shown by now.
-  void TableRead() { this->known = true; }
-  void SeeRow(const platform::Row& row, bool removed);
-  void StoreAnswered();
-  void StoreSilent();
+  void OnTableRead() { this->table_read = true; }
+  void OnRow(const platform::Row& row, bool removed);
+  void OnStoreAnswered();
+  void OnFeedLost();
 
   // Gives it up, for good: others take over at once.
   void Release();
   // A worker has seen a higher epoch: it is lost, whatever the row says.
-  void Fenced();
+  void OnFenced();
 
-  bool holds() const { return this->holding; }
+  bool holds() const { return this->is_holder; }
   // Its own write of a takeover is on its way.
-  bool is_taking() const { return this->taking_now; }
+  bool is_takeover_pending() const { return this->takeover_pending; }
   // No other daemon takes over before this, with some slack for what is on its
   // way.
-  base::Micros certain_until() const { return this->lease.certain_until(); }
+  base::Micros valid_until() const { return this->lease.valid_until(); }
   const std::string& holder() const { return this->record.holder; }
   std::uint64_t epoch() const { return this->record.epoch; }
   // As the holder last said.
   const ShardLoad& load() const { return this->record.load; }
 
  private:
-  void Act();
-  bool ShouldTake(base::Micros now) const;
-  bool ShouldAskForWay(base::Micros now) const;
-  void AskForWay();
-  bool ShouldLook(base::Micros now) const;
-  void Look();
-  void MakeWay();
+  void OnTick();
+  bool ShouldTakeOver(base::Micros now) const;
+  bool ShouldRequestHandover(base::Micros now) const;
+  void RequestHandover();
+  bool ShouldReadRow(base::Micros now) const;
+  void ReadRow();
+  void HandOver();
   bool IsMuchStronger() const;
-  base::Micros DrawPatience();
-  base::Micros Patience() const;
-  bool NamesThis(const OwnerRecord& seen) const;
-  base::Micros UntilRenewal(base::Micros now) const;
-  void Write(const OwnerRecord& next, bool taking);
-  void TakeAnswer(const platform::WriteResult& result,
-                  const OwnerRecord& next,
-                  bool taking);
-  void Settle(const platform::WriteResult& result,
-              const OwnerRecord& next,
-              bool taking,
-              base::Micros now);
+  base::Micros DrawTakeoverJitter();
+  base::Micros TakeoverDelay() const;
+  bool IsOwn(const OwnerRecord& other) const;
+  base::Micros NextRenewalDelay(base::Micros now) const;
+  void Write(const OwnerRecord& next, bool is_takeover);
+  void OnWriteResult(const platform::WriteResult& result,
+                     const OwnerRecord& next,
+                     bool is_takeover);
+  void ApplyWriteResult(const platform::WriteResult& result,
+                        const OwnerRecord& next,
+                        bool is_takeover,
+                        base::Micros now);
   void WriteRelease();
-  void TakeConflict(const platform::WriteResult& result);
-  void Gain();
+  void OnConflict(const platform::WriteResult& result);
+  void Acquire();
   void Lose();
 
   platform::Store& store;
@@ -103,13 +104,13 @@
   OwnerLease lease;
   OwnerRecord record;         // as last seen
   std::uint64_t version = 0;  // of the row; 0: there is none
-  bool known = false;         // the row, or its absence, has been seen
-  bool holding = false;
+  bool table_read = false;    // the row, or its absence, has been seen
+  bool is_holder = false;
   bool released = false;
-  bool makes_way = false;  // gives up for a stronger one
-  bool writing = false;
-  bool taking_now = false;
-  bool looking = false;  // reads the row before it takes over
+  bool is_handing_over = false;  // gives up for a stronger one
+  bool is_write_pending = false;
+  bool takeover_pending = false;
+  bool is_read_pending = false;  // reads the row before it takes over
   // The last epochs that this daemon held, and lost: an old row that shows up
   // late does not bring one back.
   std::uint64_t held_epoch = 0;
@@ -117,12 +118,12 @@
   base::Micros unchanged_since{};
   // When the last row of another holder was first seen: none of them was
   // confirmed later.
-  base::Micros earlier_confirmed{};
+  base::Micros previous_owner_renewal{};
   base::Micros holder_since{};  // when the present holder was first seen
   base::Micros last_answer{};
   base::Micros next_renewal{};
   base::Micros
-      patience_draw{};  // of the wait until a silent holder is replaced
+      takeover_jitter{};  // of the wait until a silent holder is replaced
   base::Timer timer;
 };
 
--- a/entry/ownership_test.cc
+++ b/entry/ownership_test.cc
@@ -21,55 +21,54 @@
 using testing::StoreStandin;
 
 // A daemon, and what came to it of each shard.
-struct Member {
-  Member(base::Loop& loop,
-         platform::Store& store,
-         const std::string& id,
-         double cores = 0.25,
-         int shards = 1)
-      : ownerships(loop,
-                   store,
-                   id,
-                   cores,
-                   shards,
-                   std::hash<std::string>()(id),
-                   {.on_gained =
-                        [this](int, std::uint64_t gained, base::Micros before) {
-                          this->epoch = gained;
-                          this->earlier_confirmed = before;
-                        },
-                    .on_lost = [this](int) { ++this->losses; },
-                    .on_confirmed =
-                        [this](int, base::Micros) { ++this->confirmations; },
-                    .load = [](int) { return ShardLoad(); },
-                    .on_store_answered = [] {}}),
+struct TestDaemon {
+  TestDaemon(base::Loop& loop,
+             platform::Store& store,
+             const std::string& id,
+             double cores = 0.25,
+             int shards = 1)
+      : ownerships(
+            loop,
+            store,
+            id,
+            cores,
+            shards,
+            std::hash<std::string>()(id),
+            {.on_gained =
+                 [this](int, std::uint64_t gained, base::Micros before) {
+                   this->epoch = gained;
+                   this->previous_owner_renewal = before;
+                 },
+             .on_lost = [this](int) { ++this->losses; },
+             .on_renewed = [this](int, base::Micros) { ++this->renewals; },
+             .load = [](int) { return ShardLoad(); },
+             .on_store_answered = [] {}}),
         ownership(this->ownerships.At(0)) {}
 
   std::uint64_t epoch = 0;
-  base::Micros earlier_confirmed{};
+  base::Micros previous_owner_renewal{};
   int losses = 0;
-  int confirmations = 0;
+  int renewals = 0;
   Ownerships ownerships;
   Ownership& ownership;
 };
 
-BOOST_AUTO_TEST_CASE(OneOfSeveralOwnsAndConfirms) {
+BOOST_AUTO_TEST_CASE(OneOfSeveralDaemonsOwnsAndRenews) {
   StoreBench bench;
-  Member a(bench.loop, bench.store, "a");
-  Member b(bench.loop, bench.store, "b");
-  Member c(bench.loop, bench.store, "c");
-  bench.Until(
-      [&] { return a.confirmations + b.confirmations + c.confirmations >= 3; });
+  TestDaemon a(bench.loop, bench.store, "a");
+  TestDaemon b(bench.loop, bench.store, "b");
+  TestDaemon c(bench.loop, bench.store, "c");
+  bench.Until([&] { return a.renewals + b.renewals + c.renewals >= 3; });
   BOOST_TEST(a.ownership.holds() + b.ownership.holds() + c.ownership.holds() ==
              1);
   BOOST_TEST(a.epoch + b.epoch + c.epoch == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(GivenUpOwnershipPassesUnderAHigherEpoch) {
+BOOST_AUTO_TEST_CASE(ReleasedOwnershipPassesUnderAHigherEpoch) {
   StoreBench bench;
-  Member a(bench.loop, bench.store, "a");
+  TestDaemon a(bench.loop, bench.store, "a");
   bench.Until([&] { return a.ownership.holds(); });
-  Member b(bench.loop, bench.store, "b");
+  TestDaemon b(bench.loop, bench.store, "b");
   a.ownership.Release();
   bench.Until([&] { return b.ownership.holds(); });
   BOOST_TEST(b.epoch == 2U);
@@ -83,7 +82,7 @@
       OwnerRow({}),
       EncodeOwner(
           {.holder = "dead", .incarnation = "1", .epoch = 7, .beat = 3}));
-  Member a(bench.loop, bench.store, "a");
+  TestDaemon a(bench.loop, bench.store, "a");
   bench.Until([&] { return a.ownership.holds(); });
   BOOST_TEST(a.epoch == 8U);
 }
@@ -98,7 +97,7 @@
                                                .epoch = 7,
                                                .beat = 3,
                                                .cores = 0.25}));
-  Member a(bench.loop, bench.store, "a");
+  TestDaemon a(bench.loop, bench.store, "a");
   bench.Until([&] { return a.ownership.epoch() == 7U; });
   const base::Micros seen = base::MonotonicNow();
   const int written = bench.standin.writes();
@@ -109,13 +108,13 @@
   bench.Until([&] { return a.ownership.holds(); });
   BOOST_TEST(a.epoch == 8U);
   // What the silent holder granted is waited out from here, not from now.
-  BOOST_CHECK(a.earlier_confirmed > base::Micros::zero());
-  BOOST_CHECK(a.earlier_confirmed <= seen);
+  BOOST_CHECK(a.previous_owner_renewal > base::Micros::zero());
+  BOOST_CHECK(a.previous_owner_renewal <= seen);
 }
 
-BOOST_AUTO_TEST_CASE(OwnerThatIsReplacedLearnsIt) {
+BOOST_AUTO_TEST_CASE(ReplacedOwnerLosesOwnership) {
   StoreBench bench;
-  Member a(bench.loop, bench.store, "a");
+  TestDaemon a(bench.loop, bench.store, "a");
   bench.Until([&] { return a.ownership.holds(); });
   bench.standin.Put(
       OwnerRow({}),
@@ -125,20 +124,20 @@
   BOOST_TEST(!a.ownership.holds());
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerOfATakeoverIsSettledByTheRow) {
+BOOST_AUTO_TEST_CASE(RowConfirmsATakeoverWhoseAnswerIsLost) {
   StoreBench bench;
-  Member a(bench.loop, bench.store, "a");
+  TestDaemon a(bench.loop, bench.store, "a");
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
   bench.Until([&] { return a.ownership.holds(); });
   BOOST_TEST(a.epoch == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(StrongerBoxRelievesAWeakerOne) {
+BOOST_AUTO_TEST_CASE(StrongerBoxReplacesAWeakerOne) {
   StoreBench bench;
-  Member weak(bench.loop, bench.store, "weak", 0.1);
+  TestDaemon weak(bench.loop, bench.store, "weak", 0.1);
   bench.Until([&] { return weak.ownership.holds(); });
-  Member equal(bench.loop, bench.store, "equal", 0.12);
-  Member strong(bench.loop, bench.store, "strong", 0.5);
+  TestDaemon equal(bench.loop, bench.store, "equal", 0.12);
+  TestDaemon strong(bench.loop, bench.store, "strong", 0.5);
   bench.Until([&] { return strong.ownership.holds(); });
   bench.Until([&] { return weak.losses == 1; });
   BOOST_TEST(strong.epoch == 2U);
@@ -146,28 +145,27 @@
 }
 
 // Each write is made and not answered; the next finds the row as it left it.
-BOOST_AUTO_TEST_CASE(OwnerIsConfirmedThoughEveryAnswerIsLost) {
+BOOST_AUTO_TEST_CASE(OwnerRenewsThoughEveryAnswerIsLost) {
   StoreBench bench;
-  Member a(bench.loop, bench.store, "a");
-  bench.Until([&] { return a.confirmations >= 1; });
+  TestDaemon a(bench.loop, bench.store, "a");
+  bench.Until([&] { return a.renewals >= 1; });
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
-  const int confirmed = a.confirmations;
+  const int renewed = a.renewals;
   const int written = bench.standin.writes();
   bench.Until([&] {
-    return a.confirmations > confirmed + 2 ||
-           bench.standin.writes() > written + 12;
+    return a.renewals > renewed + 2 || bench.standin.writes() > written + 12;
   });
-  BOOST_TEST(a.confirmations > confirmed + 2);
+  BOOST_TEST(a.renewals > renewed + 2);
   BOOST_TEST(a.epoch == 1U);
 }
 
 // A write that was made before the loss shows up after it.
 BOOST_AUTO_TEST_CASE(OldRowDoesNotBringALostEpochBack) {
   StoreBench bench;
-  Member a(bench.loop, bench.store, "a");
+  TestDaemon a(bench.loop, bench.store, "a");
   bench.Until([&] { return a.ownership.holds(); });
   const platform::RowKey row = OwnerRow({});
-  a.ownership.Fenced();
+  a.ownership.OnFenced();
   bench.standin.Put(row, bench.standin.Value(row));
   bench.Until([&] { return a.ownership.holds(); });
   BOOST_TEST(a.epoch == 2U);
@@ -175,28 +173,29 @@
 
 // --- Several shards ---
 
-int HeldByAll(const std::vector<const Member*>& members) {
+int HeldByAll(const std::vector<const TestDaemon*>& daemons) {
   int held = 0;
-  for (const Member* member : members)
-    held += static_cast<int>(member->ownerships.held().size());
+  for (const TestDaemon* daemon : daemons)
+    held += static_cast<int>(daemon->ownerships.held().size());
   return held;
 }
 
-// Far above the two seconds after which one with two shards is asked for one.
-constexpr base::Micros kEnough = std::chrono::seconds(20);
+// Far above the two seconds after which one with two shards is asked for
+// renewal.
+constexpr base::Micros kTimeout = std::chrono::seconds(20);
 
-BOOST_AUTO_TEST_CASE(EachShardGoesToADaemonOfItsOwn) {
+BOOST_AUTO_TEST_CASE(EachShardGoesToADifferentDaemon) {
   StoreBench bench;
   constexpr int kShards = 4;
-  Member a(bench.loop, bench.store, "a", 0.5, kShards);
-  Member b(bench.loop, bench.store, "b", 0.5, kShards);
-  Member c(bench.loop, bench.store, "c", 0.5, kShards);
-  Member d(bench.loop, bench.store, "d", 0.5, kShards);
-  const std::vector<const Member*> all = {&a, &b, &c, &d};
+  TestDaemon a(bench.loop, bench.store, "a", 0.5, kShards);
+  TestDaemon b(bench.loop, bench.store, "b", 0.5, kShards);
+  TestDaemon c(bench.loop, bench.store, "c", 0.5, kShards);
+  TestDaemon d(bench.loop, bench.store, "d", 0.5, kShards);
+  const std::vector<const TestDaemon*> all = {&a, &b, &c, &d};
   // One that came to two makes way for one that has none.
-  BOOST_REQUIRE(bench.Within(kEnough, [&] {
-    return std::all_of(all.begin(), all.end(), [](const Member* member) {
-      return member->ownerships.held().size() == 1;
+  BOOST_REQUIRE(bench.Within(kTimeout, [&] {
+    return std::all_of(all.begin(), all.end(), [](const TestDaemon* daemon) {
+      return daemon->ownerships.held().size() == 1;
     });
   }));
   BOOST_TEST(HeldByAll(all) == kShards);
@@ -205,15 +204,15 @@
 BOOST_AUTO_TEST_CASE(ShardsOfALostDaemonAreTakenOver) {
   StoreBench bench;
   constexpr int kShards = 2;
-  Member a(bench.loop, bench.store, "a", 0.5, kShards);
-  Member b(bench.loop, bench.store, "b", 0.5, kShards);
-  BOOST_REQUIRE(bench.Within(kEnough, [&] {
+  TestDaemon a(bench.loop, bench.store, "a", 0.5, kShards);
+  TestDaemon b(bench.loop, bench.store, "b", 0.5, kShards);
+  BOOST_REQUIRE(bench.Within(kTimeout, [&] {
     return HeldByAll({&a, &b}) == kShards && a.ownerships.held().size() == 1;
   }));
   const int lost = a.ownerships.held().front();
   a.ownerships.Release();
   BOOST_REQUIRE(bench.Within(
-      kEnough, [&] { return b.ownerships.held().size() == kShards; }));
+      kTimeout, [&] { return b.ownerships.held().size() == kShards; }));
   BOOST_TEST(b.ownerships.At(lost).holds());
   BOOST_TEST(b.epoch >= 2U);
 }
@@ -222,67 +221,69 @@
 
 constexpr base::Micros kSilence = std::chrono::milliseconds(1300);
 
-struct Confirmation {
+struct Renewal {
   std::uint64_t beat = 0;
-  base::Micros asked{};
-  bool is_made = false;
-  base::Micros made{};  // when the row holds it, if it is made
+  base::Micros sent_at{};
+  bool is_written = false;
+  base::Micros written_at{};  // when the row holds it, if it is made
 };
 
-// A holder whose confirmations are answered, lost, refused, or made late; the
+// A holder whose renewals are answered, lost, refused, or made late; the
 // others count the silence from when the row last changed.
 RC_BOOST_PROP(HolderStopsBeforeAnotherMayTakeOver, ()) {
   OwnerLease lease;
   base::Micros now = std::chrono::seconds(10);
   base::Micros last_change = now;
   std::uint64_t beat = 0;
-  std::vector<Confirmation> open;
+  std::vector<Renewal> pending;
   const int steps = *rc::gen::inRange(1, 40);
   for (int i = 0; i < steps; ++i) {
     now += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
-    lease.Asked(1, beat, now, kSilence);
+    lease.OnRenewalSent(1, beat, now, kSilence);
     const int fate = *rc::gen::inRange(0, 4);
-    const base::Micros made =
+    const base::Micros written_at =
         now + std::chrono::milliseconds(*rc::gen::inRange(1, 500));
     if (fate == 0) {  // refused
-      lease.NotMade(1, beat);
+      lease.OnRenewalNotWritten(1, beat);
       continue;
     }
-    const bool is_made = fate != 1;
-    open.push_back(
-        {.beat = beat, .asked = now, .is_made = is_made, .made = made});
+    const bool is_written = fate != 1;
+    pending.push_back({.beat = beat,
+                       .sent_at = now,
+                       .is_written = is_written,
+                       .written_at = written_at});
     // The row's first try of a beat that is made counts; later ones find it.
-    if (!is_made)
+    if (!is_written)
       continue;
-    const auto first =
-        std::find_if(open.begin(), open.end(), [&](const Confirmation& one) {
-          return one.beat == beat && one.is_made;
+    const auto first = std::find_if(
+        pending.begin(), pending.end(), [&](const Renewal& renewal) {
+          return renewal.beat == beat && renewal.is_written;
         });
-    last_change = std::max(last_change, first->made);
+    last_change = std::max(last_change, first->written_at);
     if (fate == 3)  // its answer is lost
       continue;
-    now = std::max(now, made);
-    lease.Made(1, beat);
+    now = std::max(now, written_at);
+    lease.OnRenewalWritten(1, beat);
     ++beat;
     // What has not been made by then never is: its condition fails.
-    RC_ASSERT(lease.certain_until() < last_change + kSilence);
+    RC_ASSERT(lease.valid_until() < last_change + kSilence);
   }
 }
 
-BOOST_AUTO_TEST_CASE(HolderWithoutAConfirmationOrdersNothing) {
+BOOST_AUTO_TEST_CASE(HolderWithoutARenewalOrdersNothing) {
   OwnerLease lease;
   const base::Micros now = std::chrono::seconds(5);
-  lease.Asked(3, 0, now, kSilence);
-  BOOST_TEST(lease.certain_until().count() == 0);
+  lease.OnRenewalSent(3, 0, now, kSilence);
+  BOOST_TEST(lease.valid_until().count() == 0);
   // Another try of the same beat extends nothing: the first may be the one that
   // was made.
-  lease.Asked(3, 0, now + std::chrono::seconds(1), kSilence);
-  lease.Made(3, 0);
-  BOOST_CHECK(lease.certain_until() > now);
-  BOOST_CHECK(lease.certain_until() < now + kSilence);
+  lease.OnRenewalSent(3, 0, now + std::chrono::seconds(1), kSilence);
+  lease.OnRenewalWritten(3, 0);
+  BOOST_CHECK(lease.valid_until() > now);
+  BOOST_CHECK(lease.valid_until() < now + kSilence);
   // Nor does a beat of another epoch.
-  lease.Made(4, 0);
-  BOOST_CHECK(lease.certain_until() < now + kSilence);
+  lease.OnRenewalWritten(4, 0);
+  BOOST_CHECK(lease.valid_until() < now + kSilence);
 }
 
 }  // namespace
--- a/entry/ownerships.cc
+++ b/entry/ownerships.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "entry/beats.h"
+#include "entry/renewal_schedule.h"
 
 namespace quartzhoist::entry {
 
@@ -13,9 +13,9 @@
 // each 50 ms, and a quick store takes some 9 ms. One look shows the beats of
 // all holders; a look at each change took 32,540 calls of the store on a calm
 // day of 50 s (97 daemons, four holders, counted by table).
-constexpr base::Micros kAfterBeat = std::chrono::milliseconds(80);
+constexpr base::Micros kReadDelayAfterRenewal = std::chrono::milliseconds(80);
 // While the store's clock is not known.
-constexpr base::Micros kPauseWithoutClock = std::chrono::milliseconds(150);
+constexpr base::Micros kReadPauseWithoutClock = std::chrono::milliseconds(150);
 
 platform::TableFollower::Pace PaceFor(const platform::Store& store,
                                       int shards) {
@@ -24,9 +24,10 @@
     return pace;
   pace.pause = [&store] {
     if (!store.knows_clock())
-      return kPauseWithoutClock;
+      return kReadPauseWithoutClock;
     const std::int64_t now = store.StoreMillis(base::MonotonicNow());
-    return UntilBeat(now, -kAfterBeat + base::Micros(1)) + kAfterBeat;
+    return TimeUntilRenewal(now, -kReadDelayAfterRenewal + base::Micros(1)) +
+           kReadDelayAfterRenewal;
   };
   return pace;
 }
@@ -59,49 +60,49 @@
   return {.on_all =
               [this](const std::vector<platform::Row>& all) {
                 for (const auto& ownership : this->rows) {
-                  ownership->TableRead();
+                  ownership->OnTableRead();
                   for (const platform::Row& row : all)
-                    ownership->SeeRow(row, false);
+                    ownership->OnRow(row, false);
                 }
               },
           .on_changes =
               [this](const std::vector<platform::ChangedRow>& changes) {
                 for (const auto& ownership : this->rows) {
                   for (const platform::ChangedRow& changed : changes)
-                    ownership->SeeRow(changed.row, changed.removed);
+                    ownership->OnRow(changed.row, changed.removed);
                 }
               },
           .on_contact =
               [this](base::Micros) {
                 for (const auto& ownership : this->rows)
-                  ownership->StoreAnswered();
+                  ownership->OnStoreAnswered();
                 this->events.on_store_answered();
               },
           .on_lost =
               [this] {
                 for (const auto& ownership : this->rows)
-                  ownership->StoreSilent();
+                  ownership->OnFeedLost();
               }};
 }
 
 Ownership::Events Ownerships::EventsOf(int shard) {
-  return {
-      .on_gained =
-          [this, shard](std::uint64_t epoch, base::Micros earlier_confirmed) {
-            this->held_shards.push_back(shard);
-            this->events.on_gained(shard, epoch, earlier_confirmed);
-          },
-      .on_lost =
-          [this, shard] {
-            std::erase(this->held_shards, shard);
-            this->events.on_lost(shard);
-          },
-      .on_confirmed =
-          [this, shard](base::Micros asked) {
-            this->events.on_confirmed(shard, asked);
-          },
-      .cores = [this, shard] { return this->CoresFor(shard); },
-      .load = [this, shard] { return this->events.load(shard); }};
+  return {.on_gained =
+              [this, shard](std::uint64_t epoch,
+                            base::Micros previous_owner_renewal) {
+                this->held_shards.push_back(shard);
+                this->events.on_gained(shard, epoch, previous_owner_renewal);
+              },
+          .on_lost =
+              [this, shard] {
+                std::erase(this->held_shards, shard);
+                this->events.on_lost(shard);
+              },
+          .on_renewed =
+              [this, shard](base::Micros sent_at) {
+                this->events.on_renewed(shard, sent_at);
+              },
+          .cores = [this, shard] { return this->CoresFor(shard); },
+          .load = [this, shard] { return this->events.load(shard); }};
 }
 
 // A daemon's processor is shared by what it holds: with each further shard it
@@ -111,12 +112,12 @@
 double Ownerships::CoresFor(int shard) const {
   const auto at =
       std::find(this->held_shards.begin(), this->held_shards.end(), shard);
-  auto before = static_cast<double>(at - this->held_shards.begin());
+  auto earlier_shards = static_cast<double>(at - this->held_shards.begin());
   if (at == this->held_shards.end()) {
     for (const auto& other : this->rows)
-      before += other->is_taking();
+      earlier_shards += other->is_takeover_pending();
   }
-  return this->cores / (1.0 + before);
+  return this->cores / (1.0 + earlier_shards);
 }
 
 std::vector<ShardLoad> Ownerships::Loads() const {
--- a/entry/ownerships.h
+++ b/entry/ownerships.h
@@ -21,11 +21,12 @@
  public:
   // What comes of the shard of this number; see Ownership::Events.
   struct Events {
-    std::function<
-        void(int shard, std::uint64_t epoch, base::Micros earlier_confirmed)>
+    std::function<void(int shard,
+                       std::uint64_t epoch,
+                       base::Micros previous_owner_renewal)>
         on_gained;
     std::function<void(int shard)> on_lost;
-    std::function<void(int shard, base::Micros asked)> on_confirmed;
+    std::function<void(int shard, base::Micros sent_at)> on_renewed;
     std::function<ShardLoad(int shard)> load;
     // The store answered this daemon.
     std::function<void()> on_store_answered;
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -9,7 +9,7 @@
 #include <rapidcheck/boost_test.h>
 #include <boost/test/unit_test.hpp>
 
-#include "entry/beats.h"
+#include "entry/renewal_schedule.h"
 #include "entry/shard_plan.h"
 #include "entry/shards.h"
 #include "entry/tables.h"
@@ -249,15 +249,15 @@
   BOOST_TEST(second == first);
 }
 
-RC_BOOST_PROP(BeatsAreTheSameMomentsForAll, ()) {
+RC_BOOST_PROP(RenewalTimesAreTheSameForAllHolders, ()) {
   const std::int64_t now_ms = *rc::gen::inRange(0, 1'000'000);
   const base::Micros least =
       std::chrono::milliseconds(*rc::gen::inRange(0, 400));
-  const base::Micros wait = UntilBeat(now_ms, least);
+  const base::Micros wait = TimeUntilRenewal(now_ms, least);
   RC_ASSERT(wait >= least);
-  RC_ASSERT(wait < least + kBeat);
+  RC_ASSERT(wait < least + kRenewalPeriod);
   const base::Micros at = std::chrono::milliseconds(now_ms) + wait;
-  RC_ASSERT(at % kBeat == base::Micros::zero());
+  RC_ASSERT(at % kRenewalPeriod == base::Micros::zero());
 }
 
 BOOST_AUTO_TEST_CASE(ShardCountsOfOtherFormsAreNotTaken) {
--- a/entry/suspension_test.cc
+++ b/entry/suspension_test.cc
@@ -18,22 +18,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-base::Micros slept{};
+base::Micros suspended{};
 
-base::Micros ClockThatCountsSleep() {
-  return base::BootTimeNow() + slept;
+base::Micros ClockWithSuspensions() {
+  return base::BootTimeNow() + suspended;
 }
 
 // The loop's timers do not see what the clock counts while this lives.
-struct Suspensions {
-  Suspensions() {
-    slept = {};
-    base::ReadClockFrom(&ClockThatCountsSleep);
+struct SuspendableClock {
+  SuspendableClock() {
+    suspended = {};
+    base::ReadClockFrom(&ClockWithSuspensions);
   }
-  ~Suspensions() { base::ReadClockFrom(&base::BootTimeNow); }
+  ~SuspendableClock() { base::ReadClockFrom(&base::BootTimeNow); }
 };
 
-constexpr seconds kSleeps[] = {seconds(3), seconds(10), seconds(60)};
+constexpr seconds kSuspensions[] = {seconds(3), seconds(10), seconds(60)};
 
 BOOST_AUTO_TEST_CASE(ClockCountsTheTimeOfASuspension) {
   const base::Micros before = base::BootTimeNow();
@@ -45,7 +45,7 @@
 // An order was decided, and the machine is suspended before it leaves: on a new
 // connection, on one that was kept open, and behind another order.
 BOOST_AUTO_TEST_CASE(OrderThatWasDecidedBeforeASuspensionDoesNotLeave) {
-  const Suspensions suspensions;
+  const SuspendableClock clock;
   base::Loop loop;
   testing::RawServer server(loop, [](int) {
     return testing::RawServer::Answer{
@@ -54,15 +54,15 @@
             "Content-Length: 13\r\n\r\n{\"clockMs\":1}"};
   });
   http::Client client(loop);
-  base::Micros certain_until{};
-  platform::Workers workers(
-      client, [&] { return base::MonotonicNow() < certain_until; });
+  base::Micros valid_until{};
+  platform::Workers workers(client,
+                            [&] { return base::MonotonicNow() < valid_until; });
   const platform::OrderTo to{
       .worker = {.id = "w"},
       .address = "127.0.0.1:" + std::to_string(server.port()),
       .epoch = 1};
-  const auto order = [&](base::Micros sleep_before_it_leaves) {
-    certain_until = base::MonotonicNow() + milliseconds(1150);
+  const auto order = [&](base::Micros suspension_before_sending) {
+    valid_until = base::MonotonicNow() + milliseconds(1150);
     std::optional<scheduler::OrderOutcome> outcome;
     workers.Start(
         to,
@@ -71,39 +71,39 @@
          .run = 1,
          .text = "text"},
         1000, [&](const platform::StartResult& got) { outcome = got.outcome; });
-    slept += sleep_before_it_leaves;
+    suspended += suspension_before_sending;
     while (!outcome)
       loop.RunOnce();
     return *outcome;
   };
-  for (const seconds sleep : kSleeps)
-    BOOST_CHECK(order(sleep) == scheduler::OrderOutcome::kNotSent);
+  for (const seconds suspension : kSuspensions)
+    BOOST_CHECK(order(suspension) == scheduler::OrderOutcome::kNotSent);
   BOOST_TEST(server.requests() == 0);
   BOOST_CHECK(order({}) == scheduler::OrderOutcome::kDone);
-  for (const seconds sleep : kSleeps)
-    BOOST_CHECK(order(sleep) == scheduler::OrderOutcome::kNotSent);
+  for (const seconds suspension : kSuspensions)
+    BOOST_CHECK(order(suspension) == scheduler::OrderOutcome::kNotSent);
   BOOST_TEST(server.requests() == 1);
 }
 
 // What it knew before it slept proves nothing on waking, before any timer has
 // fired; the store is asked, and then it is certain again.
 BOOST_AUTO_TEST_CASE(OwnerThatWasSuspendedIsNotCertainUntilItHasAsked) {
-  const Suspensions suspensions;
+  const SuspendableClock clock;
   testing::StoreBench bench;
   int losses = 0;
   Ownerships ownerships(bench.loop, bench.store, "a", 0.25, 1, 7,
                         {.on_gained = [](int, std::uint64_t, base::Micros) {},
                          .on_lost = [&](int) { ++losses; },
-                         .on_confirmed = [](int, base::Micros) {},
+                         .on_renewed = [](int, base::Micros) {},
                          .load = [](int) { return ShardLoad(); },
                          .on_store_answered = [] {}});
   const auto is_certain = [&] {
     return ownerships.At(0).holds() &&
-           base::MonotonicNow() < ownerships.At(0).certain_until();
+           base::MonotonicNow() < ownerships.At(0).valid_until();
   };
   BOOST_REQUIRE(bench.Within(seconds(10), is_certain));
-  for (const seconds sleep : kSleeps) {
-    slept += sleep;
+  for (const seconds suspension : kSuspensions) {
+    suspended += suspension;
     BOOST_TEST(!is_certain());
     BOOST_TEST(bench.Within(seconds(10), is_certain));
   }
