--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -55,7 +55,7 @@
     const jobs::Organisation* caller =
         this->config->FindOrganisation(organisation);
     const std::optional<int> home =
-        caller ? HomeShard(*caller, spec, this->shards) : std::nullopt;
+        caller ? HomeShardFor(*caller, spec, this->shards) : std::nullopt;
     const int chosen =
         home ? *home : this->choose_shard(*this->config, queue, spec);
     submission.shard = {.number = chosen, .count = this->shards};
--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -129,7 +129,7 @@
           .on_lost = [] {}},
       platform::TableFollower::Pace{.wait = chosen.deployment.config_in_force /
                                             kLooksInForce});
-  this->plan = std::make_unique<ShardPlan>(
+  this->plan = std::make_unique<ShardCountResolver>(
       this->loop, this->store, chosen.cores, chosen.workers_an_owner, seed,
       [this, seed](int shards) { this->Begin(shards, seed); });
 }
@@ -159,7 +159,7 @@
   this->callers.SetShards(
       shards, [this](const jobs::Config& now, const jobs::Queue& queue,
                      const jobs::JobSpec& job) {
-        return this->choice.Choose(now, queue, job, this->ownerships->Loads());
+        return this->choice.Select(now, queue, job, this->ownerships->Loads());
       });
   // A stop signal came before.
   if (this->stop_asked > base::Micros::zero())
--- a/entry/job_daemon.h
+++ b/entry/job_daemon.h
@@ -16,7 +16,7 @@
 #include "entry/manager.h"
 #include "entry/ownerships.h"
 #include "entry/settings.h"
-#include "entry/shard_plan.h"
+#include "entry/shard_count_resolver.h"
 #include "http/client.h"
 #include "http/server.h"
 #include "jobs/queue.h"
@@ -80,8 +80,8 @@
   base::Micros stop_asked{};  // 0: none yet
   std::vector<std::unique_ptr<ManagedShard>> by_shard;
   std::unique_ptr<Ownerships> ownerships;  // once the shards are known
-  std::unique_ptr<ShardPlan> plan;
-  ShardChoice choice;
+  std::unique_ptr<ShardCountResolver> plan;
+  ShardSelector choice;
   std::unique_ptr<platform::TableFollower> operators;
   base::Timer stop_timer;
   base::SignalWatcher stop_signal;
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -123,7 +123,7 @@
           return;
         }
         for (scheduler::BoxInfo& box : result->boxes) {
-          if (HoldsBox(this->shard, box.name))
+          if (ShardContainsBox(this->shard, box.name))
             so_far.push_back(std::move(box));
         }
         if (!result->next.empty()) {
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -251,8 +251,8 @@
   ShardLoad load;
   for (const scheduler::PoolState& state :
        this->scheduler.PoolStates(base::MonotonicNow()))
-    load.pools[state.pool] = state.load_percent;
-  load.kinds = this->scheduler.Kinds();
+    load.load_percent_by_pool[state.pool] = state.load_percent;
+  load.box_kinds = this->scheduler.Kinds();
   return load;
 }
 
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -360,7 +360,7 @@
   try {
     const scheduler::WorkerInfo info =
         platform::ParseWorker(id, changed.row.value);
-    if (!HoldsBox(this->shard, info.box))
+    if (!ShardContainsBox(this->shard, info.box))
       return;
     (*this->announced)[id] = info;
     if (this->begun)
--- /dev/null
+++ b/entry/shard_count_resolver.cc
@@ -0,0 +1,129 @@
+#include "entry/shard_count_resolver.h"
+
+#include <utility>
+
+#include "base/event_log.h"
+#include "entry/tables.h"
+#include "entry/timing.h"
+#include "platform/records.h"
+
+namespace quartzhoist::entry {
+
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr base::Micros kReadRetryDelay = milliseconds(150);
+// Workers announce themselves within some heartbeats (1 to 1.5 s on the sites)
+// of a fleet's start. The count is settled when two looks, this long apart,
+// found as many, or after the longest wait.
+constexpr base::Micros kRecountDelay = milliseconds(600);
+constexpr base::Micros kMaxCountDuration = milliseconds(5000);
+
+base::Micros CountDelay(double cores, std::uint64_t seed) {
+  std::mt19937_64 random(seed);
+  return FirstWait(cores) + milliseconds(random() % kFreeSpreadMillis);
+}
+
+}  // namespace
+
+ShardCountResolver::ShardCountResolver(base::Loop& loop,
+                                       platform::Store& on,
+                                       double cores,
+                                       std::size_t max_workers,
+                                       std::uint64_t seed,
+                                       std::function<void(int count)> then)
+    : store(on),
+      workers_per_owner(max_workers),
+      on_resolved(std::move(then)),
+      count_delay(CountDelay(cores, seed)),
+      timer(loop, [this] { this->ReadCountRow(); }),
+      alive(std::make_shared<bool>(true)) {
+  this->ReadCountRow();
+}
+
+ShardCountResolver::~ShardCountResolver() {
+  *this->alive = false;
+}
+
+void ShardCountResolver::ReadCountRow() {
+  platform::ReadTable(
+      this->store, std::string(kShardTable), {ShardRow().part},
+      [this, is_alive = this->alive](
+          const std::optional<platform::TableContent>& content) {
+        if (*is_alive)
+          this->OnCountRow(content);
+      });
+}
+
+void ShardCountResolver::OnCountRow(
+    const std::optional<platform::TableContent>& content) {
+  const base::Micros now = base::MonotonicNow();
+  this->timer.StartOnce(kReadRetryDelay);
+  if (!content)
+    return;
+  for (const platform::Row& row : content->rows) {
+    const std::optional<int> count = DecodeShardCount(row.value);
+    if (row.at == ShardRow() && count) {
+      this->Resolve(*count);
+      return;
+    }
+    base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
+    return;
+  }
+  if (!this->missing_since)
+    this->missing_since = now;
+  if (now - *this->missing_since >= this->count_delay)
+    this->CountWorkers();
+}
+
+void ShardCountResolver::CountWorkers() {
+  this->timer.Stop();
+  platform::ReadTable(
+      this->store, std::string(platform::kWorkerTable), {""},
+      [this, is_alive = this->alive](
+          const std::optional<platform::TableContent>& content) {
+        if (!*is_alive)
+          return;
+        this->timer.StartOnce(kRecountDelay);
+        if (content)
+          this->OnWorkerCount(content->rows.size());
+      });
+}
+
+// A fleet that is still starting up would be taken for a small one.
+void ShardCountResolver::OnWorkerCount(std::size_t workers) {
+  const bool is_steady = workers > 0 && this->last_count == workers;
+  const bool is_timed_out =
+      base::MonotonicNow() - *this->missing_since > kMaxCountDuration;
+  this->last_count = workers;
+  if (is_steady || is_timed_out)
+    this->WriteCount(ShardCountFor(workers, this->workers_per_owner));
+}
+
+// Whoever comes second finds the first one's row.
+void ShardCountResolver::WriteCount(int count) {
+  const platform::WriteBatch batch{
+      .conditions = {{.at = ShardRow(), .version = 0}},
+      .puts = {{.at = ShardRow(), .value = EncodeShardCount(count)}},
+      .removes = {}};
+  this->store.Write(batch, [this, count, is_alive = this->alive](
+                               const platform::WriteResult& result) {
+    if (!*is_alive)
+      return;
+    if (result.outcome == platform::WriteOutcome::kDone)
+      this->Resolve(count);
+    else
+      this->timer.StartOnce(kReadRetryDelay);
+  });
+}
+
+void ShardCountResolver::Resolve(int count) {
+  this->timer.Stop();
+  if (std::exchange(this->is_resolved, true))
+    return;
+  base::Log(base::Event::kShardsKnown, {{"shards", count}});
+  this->on_resolved(count);
+}
+
+}  // namespace quartzhoist::entry
--- /dev/null
+++ b/entry/shard_selector.cc
@@ -0,0 +1,167 @@
+#include "entry/shard_selector.h"
+
+#include <algorithm>
+#include <optional>
+
+#include <xxhash.h>
+
+namespace quartzhoist::entry {
+
+namespace {
+
+// Shards whose loads differ by less are taken as equal: the figures are up to
+// 0.6 s old, and all daemons that read the same ones would crowd into one.
+constexpr int kMinLoadDifference = 15;  // percent
+// A lasting job stays away from its pool's shard while that is fuller than
+// this: its tasks would wait, or push others out.
+constexpr int kMaxPreferredLoad = 150;  // percent
+// Of a shard whose owner has not spoken of the pool yet: others go first.
+constexpr int kAssumedLoad = 300;  // percent
+
+bool IsLasting(const jobs::JobSpec& job) {
+  return std::any_of(job.steps.begin(), job.steps.end(),
+                     [](const jobs::Step& step) { return step.lasting; });
+}
+
+// Nothing while the shard's owner has not spoken of the pool.
+std::optional<int> ReportedLoad(const ShardLoad& load,
+                                const std::string& pool) {
+  const auto found = load.load_percent_by_pool.find(pool);
+  return found == load.load_percent_by_pool.end()
+             ? std::nullopt
+             : std::optional<int>(found->second);
+}
+
+bool Contains(const std::vector<std::string>& box_kinds,
+              const std::string& kind) {
+  return std::find(box_kinds.begin(), box_kinds.end(), kind) != box_kinds.end();
+}
+
+// A rack's label stands in no list of kinds: each shard has boxes of all racks.
+bool HasBoxKinds(const ShardLoad& load,
+                 const jobs::JobSpec& job,
+                 const std::vector<std::string>& all_kinds) {
+  return std::all_of(
+      job.steps.begin(), job.steps.end(), [&](const jobs::Step& step) {
+        return step.label.empty() || !Contains(all_kinds, step.label) ||
+               Contains(load.box_kinds, step.label);
+      });
+}
+
+// Shards that have the kinds of boxes which the job asks for; all, if none has.
+std::vector<int> EligibleShards(const jobs::JobSpec& job,
+                                const std::vector<ShardLoad>& loads) {
+  std::vector<std::string> all_kinds;
+  for (const ShardLoad& load : loads)
+    all_kinds.insert(all_kinds.end(), load.box_kinds.begin(),
+                     load.box_kinds.end());
+  std::vector<int> eligible;
+  std::vector<int> all;
+  for (std::size_t shard = 0; shard < loads.size(); ++shard) {
+    all.push_back(static_cast<int>(shard));
+    if (HasBoxKinds(loads[shard], job, all_kinds))
+      eligible.push_back(static_cast<int>(shard));
+  }
+  return eligible.empty() ? all : eligible;
+}
+
+// The pools that run jobs, each in a shard of its own as far as there are
+// enough, in the order of their names.
+int PreferredShard(const jobs::Config& config,
+                   const std::string& pool,
+                   int shards) {
+  int earlier_pools = 0;
+  for (const jobs::Service& service : config.services)
+    earlier_pools += !service.spare && service.name < pool;
+  return earlier_pools % shards;
+}
+
+// An equal share of a quota is to hold so many jobs at least.
+constexpr std::int64_t kMinJobsPerShare = 4;
+
+bool ExceedsQuotaShare(std::int64_t task_amount,
+                       std::int64_t tasks,
+                       std::int64_t quota,
+                       int shards) {
+  return quota > 0 && task_amount * tasks * kMinJobsPerShare * shards > quota;
+}
+
+}  // namespace
+
+// With sixteen shards a sixteenth of a small quota holds no job: each one would
+// first have to borrow from the other shards, by writes that all of them make
+// to one row. Its jobs together need one shard's share, which is lent once.
+std::optional<int> HomeShardFor(const jobs::Organisation& organisation,
+                                const jobs::JobSpec& job,
+                                int shards) {
+  if (shards == 1)
+    return std::nullopt;
+  const jobs::Resources& quota = organisation.quota;
+  const bool exceeds_share = std::any_of(
+      job.steps.begin(), job.steps.end(), [&](const jobs::Step& step) {
+        return ExceedsQuotaShare(step.each.cpu_millis, step.tasks,
+                                 quota.cpu_millis, shards) ||
+               ExceedsQuotaShare(step.each.memory_mb, step.tasks,
+                                 quota.memory_mb, shards) ||
+               ExceedsQuotaShare(step.each.gpus, step.tasks, quota.gpus,
+                                 shards);
+      });
+  // A job that asks for a kind of box goes where there is one.
+  const bool requires_box_kind =
+      std::any_of(job.steps.begin(), job.steps.end(),
+                  [](const jobs::Step& step) { return !step.label.empty(); });
+  if (!exceeds_share || requires_box_kind)
+    return std::nullopt;
+  const std::string& name = organisation.name;
+  return static_cast<int>(XXH32(name.data(), name.size(), 0) %
+                          static_cast<unsigned>(shards));
+}
+
+ShardSelector::ShardSelector(std::uint64_t seed) : random(seed) {}
+
+// Lasting tasks that may not share a box pin one each to their pool, some 30 of
+// a job: spread over four shards they pinned 243 of 540 boxes on a calm day,
+// and one shard could not follow a pool's demand (waits of 10 s). Kept together
+// they share the same boxes.
+int ShardSelector::Select(const jobs::Config& config,
+                          const jobs::Queue& queue,
+                          const jobs::JobSpec& job,
+                          const std::vector<ShardLoad>& loads) {
+  if (loads.size() == 1)
+    return 0;
+  const std::string& pool = queue.service;
+  const std::vector<int> eligible = EligibleShards(job, loads);
+  if (!IsLasting(job))
+    return this->SelectByLoad(pool, loads, eligible);
+  const int preferred =
+      PreferredShard(config, pool, static_cast<int>(loads.size()));
+  const std::optional<int> load =
+      ReportedLoad(loads[static_cast<std::size_t>(preferred)], pool);
+  const bool is_eligible =
+      std::find(eligible.begin(), eligible.end(), preferred) != eligible.end();
+  const bool is_full = load && *load >= kMaxPreferredLoad;
+  return is_eligible && !is_full ? preferred
+                                 : this->SelectByLoad(pool, loads, eligible);
+}
+
+// Of two shards drawn at random the less loaded one: what waits evens out,
+// without a rush of all daemons to the one that was least loaded a moment ago.
+int ShardSelector::SelectByLoad(const std::string& pool,
+                                const std::vector<ShardLoad>& loads,
+                                const std::vector<int>& eligible) {
+  const std::uint64_t count = eligible.size();
+  if (count == 1)
+    return eligible.front();
+  const std::uint64_t first = this->random() % count;
+  const std::uint64_t second =
+      (first + 1 + this->random() % (count - 1)) % count;
+  const auto load = [&](std::uint64_t at) {
+    return ReportedLoad(loads[static_cast<std::size_t>(eligible[at])], pool)
+        .value_or(kAssumedLoad);
+  };
+  const bool second_is_less_loaded =
+      load(second) + kMinLoadDifference <= load(first);
+  return eligible[second_is_less_loaded ? second : first];
+}
+
+}  // namespace quartzhoist::entry
--- a/entry/shard_choice.h
+++ b/entry/shard_selector.h
@@ -1,8 +1,8 @@
 // Decides which shard takes a new job: the load there, as its owners last said,
 // and where lasting tasks of the same pool are. Pure.
 
-#ifndef ENTRY_SHARD_CHOICE_H_
-#define ENTRY_SHARD_CHOICE_H_
+#ifndef ENTRY_SHARD_SELECTOR_H_
+#define ENTRY_SHARD_SELECTOR_H_
 
 #include <cstdint>
 #include <map>
@@ -21,35 +21,35 @@
 struct ShardLoad {
   // By pool: the cores that its work takes or waits for, in percent of those
   // that the shard could give it.
-  std::map<std::string, int> pools;
+  std::map<std::string, int> load_percent_by_pool;
   // Kinds of boxes that the shard has.
-  std::vector<std::string> kinds;
+  std::vector<std::string> box_kinds;
 };
 
 // The shard that takes all such jobs of an organisation, where its quota is too
 // small to be shared out; nothing where any shard may take them.
-std::optional<int> HomeShard(const jobs::Organisation& organisation,
-                             const jobs::JobSpec& job,
-                             int shards);
+std::optional<int> HomeShardFor(const jobs::Organisation& organisation,
+                                const jobs::JobSpec& job,
+                                int shards);
 
-class ShardChoice {
+class ShardSelector {
  public:
-  explicit ShardChoice(std::uint64_t seed);
+  explicit ShardSelector(std::uint64_t seed);
 
   // The number of one of the shards, which are at least one.
-  int Choose(const jobs::Config& config,
+  int Select(const jobs::Config& config,
              const jobs::Queue& queue,
              const jobs::JobSpec& job,
              const std::vector<ShardLoad>& loads);
 
  private:
-  int ChooseByLoad(const std::string& pool,
+  int SelectByLoad(const std::string& pool,
                    const std::vector<ShardLoad>& loads,
-                   const std::vector<int>& fit);
+                   const std::vector<int>& eligible);
 
   std::mt19937_64 random;
 };
 
 }  // namespace quartzhoist::entry
 
-#endif  // ENTRY_SHARD_CHOICE_H_
+#endif  // ENTRY_SHARD_SELECTOR_H_
--- a/entry/shards.h
+++ b/entry/shards.h
@@ -18,25 +18,25 @@
 // One of `count` shards.
 struct Shard {
   int number = 0;
-  int count = 1;  // a power of two up to kMostShards
+  int count = 1;  // a power of two up to kMaxShards
 
   bool operator==(const Shard&) const = default;
 };
 
-inline constexpr int kMostShards = 64;
+inline constexpr int kMaxShards = 64;
 
 // In how many shards a fleet of so many workers is scheduled, at most so many
 // workers to a shard in the mean.
-int ShardCountFor(std::size_t workers, std::size_t workers_an_owner);
+int ShardCountFor(std::size_t workers, std::size_t workers_per_owner);
 
 // The same in every daemon, for good: a box does not change its shard.
-bool HoldsBox(const Shard& shard, std::string_view box);
+bool ShardContainsBox(const Shard& shard, std::string_view box);
 
 // The shard's share of a wave: its own boxes, and how many of them may be away.
 // `done`: shards whose share of the wave is over.
-scheduler::Wave ShareOf(const scheduler::Wave& wave,
-                        const Shard& shard,
-                        const std::set<int>& done);
+scheduler::Wave WaveShareFor(const scheduler::Wave& wave,
+                             const Shard& shard,
+                             const std::set<int>& done);
 
 }  // namespace quartzhoist::entry
 
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -10,7 +10,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "entry/renewal_schedule.h"
-#include "entry/shard_plan.h"
+#include "entry/shard_count_resolver.h"
 #include "entry/shards.h"
 #include "entry/tables.h"
 #include "testing/store_bench.h"
@@ -38,11 +38,11 @@
   job.steps[0].tasks = 8;
   job.steps[0].each.cpu_millis = 1500;
   const auto home = [&job](std::int64_t cores, int shards) {
-    return HomeShard({.name = "bees",
-                      .keys = {},
-                      .jobs_a_second = 0,
-                      .quota = {.cpu_millis = cores * 1000}},
-                     job, shards);
+    return HomeShardFor({.name = "bees",
+                         .keys = {},
+                         .jobs_a_second = 0,
+                         .quota = {.cpu_millis = cores * 1000}},
+                        job, shards);
   };
   BOOST_TEST(home(60, 16).has_value());
   BOOST_CHECK(home(60, 16) == home(61, 16));
@@ -59,7 +59,7 @@
   BOOST_TEST(ShardCountFor(200, 200) == 1);
   BOOST_TEST(ShardCountFor(201, 200) == 2);
   BOOST_TEST(ShardCountFor(540, 200) == 4);
-  BOOST_TEST(ShardCountFor(1'000'000, 200) == kMostShards);
+  BOOST_TEST(ShardCountFor(1'000'000, 200) == kMaxShards);
 }
 
 // A job that is handed in again meets its own row, whichever shard either
@@ -86,12 +86,12 @@
       done.insert(shard);
   }
   int away = 0;
-  int in_the_know = 0;
+  int informed = 0;
   bool has_open_boxes = false;
   std::size_t boxes = 0;
   for (int number = 0; number < count; ++number) {
     const Shard shard{.number = number, .count = count};
-    boxes += ShareOf(wave, shard, {}).boxes.size();
+    boxes += WaveShareFor(wave, shard, {}).boxes.size();
     if (done.contains(number))
       continue;
     std::set<int> heard;
@@ -99,15 +99,15 @@
       if (*rc::gen::arbitrary<bool>())
         heard.insert(other);
     }
-    const scheduler::Wave share = ShareOf(wave, shard, heard);
+    const scheduler::Wave share = WaveShareFor(wave, shard, heard);
     away += share.boxes.empty() ? 0 : share.most_at_once;
     has_open_boxes = has_open_boxes || !share.boxes.empty();
-    in_the_know +=
-        share.boxes.empty() ? 0 : ShareOf(wave, shard, done).most_at_once;
+    informed +=
+        share.boxes.empty() ? 0 : WaveShareFor(wave, shard, done).most_at_once;
   }
   RC_ASSERT(away <= most_at_once);
   RC_ASSERT(boxes == wave.boxes.size());
-  RC_ASSERT(!has_open_boxes || in_the_know == most_at_once);
+  RC_ASSERT(!has_open_boxes || informed == most_at_once);
 }
 
 // --- Which shard takes a job ---
@@ -136,12 +136,12 @@
 // Four pools' lasting jobs, handed in by turns: each pool's stay together, and
 // no two pools' share a shard.
 BOOST_AUTO_TEST_CASE(LastingJobsOfAPoolShareAShard) {
-  ShardChoice choice(1);
+  ShardSelector selector(1);
   std::map<std::string, std::set<int>> homes;
   for (int i = 0; i < 40; ++i) {
     for (const char* pool : {"a", "b", "c", "d"})
-      homes[pool].insert(choice.Choose(FourPools(), QueueOf(pool), JobOf(true),
-                                       std::vector<ShardLoad>(4)));
+      homes[pool].insert(selector.Select(
+          FourPools(), QueueOf(pool), JobOf(true), std::vector<ShardLoad>(4)));
   }
   std::set<int> all;
   for (const auto& [pool, shards] : homes) {
@@ -152,36 +152,37 @@
 }
 
 BOOST_AUTO_TEST_CASE(LastingJobsLeaveAFullShardAlone) {
-  ShardChoice choice(1);
+  ShardSelector selector(1);
   std::vector<ShardLoad> loads(4);
-  const int home = choice.Choose(FourPools(), QueueOf("a"), JobOf(true), loads);
+  const int home =
+      selector.Select(FourPools(), QueueOf("a"), JobOf(true), loads);
   for (ShardLoad& load : loads)
-    load.pools["a"] = 10;
+    load.load_percent_by_pool["a"] = 10;
   for (const int full : {150, 300, 1000}) {
-    loads[static_cast<std::size_t>(home)].pools["a"] = full;
+    loads[static_cast<std::size_t>(home)].load_percent_by_pool["a"] = full;
     for (int i = 0; i < 20; ++i)
-      BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), JobOf(true), loads) !=
-                 home);
+      BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), JobOf(true),
+                                 loads) != home);
   }
 }
 
 BOOST_AUTO_TEST_CASE(JobsGoWhereTheKindOfBoxIs) {
-  ShardChoice choice(1);
+  ShardSelector selector(1);
   std::vector<ShardLoad> loads(4);
   for (ShardLoad& load : loads)
-    load.kinds = {"common"};
-  loads[2].kinds.emplace_back("rare");
+    load.box_kinds = {"common"};
+  loads[2].box_kinds.emplace_back("rare");
   jobs::JobSpec job = JobOf(false);
   job.steps.front().label = "rare";
   jobs::JobSpec lasting = JobOf(true);
   lasting.steps.front().label = "rare";
   for (int i = 0; i < 20; ++i) {
-    BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), job, loads) == 2);
-    BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), lasting, loads) == 2);
+    BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), job, loads) == 2);
+    BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), lasting, loads) == 2);
   }
   // One that nobody has may come: any shard will do.
   job.steps.front().label = "unheard of";
-  BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), job, loads) < 4);
+  BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), job, loads) < 4);
 }
 
 // A pool's demand is at its height and one shard holds little of what it can
@@ -191,15 +192,16 @@
   constexpr int kShards = 4;
   constexpr double kJobCores = 19.0;
   const std::vector<double> cores = {2000, 2000, 2000, 1000};
-  ShardChoice choice(7);
+  ShardSelector selector(7);
   std::vector<double> taken(kShards);
   for (int beat = 0; beat < 20; ++beat) {
     std::vector<ShardLoad> loads(kShards);
     for (std::size_t s = 0; s < kShards; ++s)
-      loads[s].pools["a"] = static_cast<int>(100 * taken[s] / cores[s]);
+      loads[s].load_percent_by_pool["a"] =
+          static_cast<int>(100 * taken[s] / cores[s]);
     for (int i = 0; i < 20; ++i) {
       const int shard =
-          choice.Choose(FourPools(), QueueOf("a"), JobOf(false), loads);
+          selector.Select(FourPools(), QueueOf("a"), JobOf(false), loads);
       taken[static_cast<std::size_t>(shard)] += kJobCores;
     }
   }
@@ -219,32 +221,32 @@
                       "{}");
   int first = 0;
   int second = 0;
-  ShardPlan one(bench.loop, bench.store, 0.5, 2, 1,
-                [&](int count) { first = count; });
-  ShardPlan other(bench.loop, bench.store, 0.5, 8, 1,
-                  [&](int count) { second = count; });
+  ShardCountResolver one(bench.loop, bench.store, 0.5, 2, 1,
+                         [&](int count) { first = count; });
+  ShardCountResolver other(bench.loop, bench.store, 0.5, 8, 1,
+                           [&](int count) { second = count; });
   bench.Until([&] { return first > 0 && second > 0; });
   BOOST_TEST(first == second);
 }
 
 BOOST_AUTO_TEST_CASE(ShardCountIsSettledOnceAndFoundByAll) {
   StoreBench bench;
-  constexpr std::size_t kWorkersAnOwner = 3;
+  constexpr std::size_t kWorkersPerOwner = 3;
   for (int i = 0; i < 5; ++i)
     bench.standin.Put({.table = "servers", .part = "", .key = BoxName(i)},
                       "{}");
   int first = 0;
   int second = 0;
-  ShardPlan one(bench.loop, bench.store, 0.5, kWorkersAnOwner, 1,
-                [&](int count) { first = count; });
+  ShardCountResolver one(bench.loop, bench.store, 0.5, kWorkersPerOwner, 1,
+                         [&](int count) { first = count; });
   bench.Until([&] { return first > 0; });
   BOOST_TEST(first == 2);
   // The fleet has grown since; the count stays.
   for (int i = 5; i < 50; ++i)
     bench.standin.Put({.table = "servers", .part = "", .key = BoxName(i)},
                       "{}");
-  ShardPlan other(bench.loop, bench.store, 0.5, kWorkersAnOwner, 2,
-                  [&](int count) { second = count; });
+  ShardCountResolver other(bench.loop, bench.store, 0.5, kWorkersPerOwner, 2,
+                           [&](int count) { second = count; });
   bench.Until([&] { return second > 0; });
   BOOST_TEST(second == first);
 }
--- a/entry/tables.cc
+++ b/entry/tables.cc
@@ -154,10 +154,14 @@
 }
 
 std::string EncodeOwner(const OwnerRecord& record) {
-  return Json{{"holder", record.holder},   {"incarnation", record.incarnation},
-              {"epoch", record.epoch},     {"beat", record.beat},
-              {"cores", record.cores},     {"successor", record.successor},
-              {"load", record.load.pools}, {"kinds", record.load.kinds}}
+  return Json{{"holder", record.holder},
+              {"incarnation", record.incarnation},
+              {"epoch", record.epoch},
+              {"beat", record.beat},
+              {"cores", record.cores},
+              {"successor", record.successor},
+              {"load", record.load.load_percent_by_pool},
+              {"kinds", record.load.box_kinds}}
       .dump();
 }
 
@@ -171,8 +175,9 @@
         .beat = json.at("beat").get<std::uint64_t>(),
         .cores = json.value("cores", 0.0),
         .successor = json.value("successor", ""),
-        .load = {.pools = json.value("load", std::map<std::string, int>()),
-                 .kinds = json.value("kinds", std::vector<std::string>())}};
+        .load = {.load_percent_by_pool =
+                     json.value("load", std::map<std::string, int>()),
+                 .box_kinds = json.value("kinds", std::vector<std::string>())}};
   } catch (const Json::exception&) {
     return std::nullopt;
   }
@@ -268,7 +273,7 @@
   const char* const end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, count);
   const bool is_power = count > 0 && (count & (count - 1)) == 0;
-  if (error != std::errc() || rest != end || !is_power || count > kMostShards)
+  if (error != std::errc() || rest != end || !is_power || count > kMaxShards)
     return std::nullopt;
   return count;
 }
--- a/entry/tables.h
+++ b/entry/tables.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "entry/shard_choice.h"
+#include "entry/shard_selector.h"
 #include "entry/shards.h"
 #include "jobs/queue.h"
 #include "platform/store.h"
--- a/entry/wave_records.cc
+++ b/entry/wave_records.cc
@@ -90,7 +90,8 @@
 void WaveRecords::ShareOut(const Record& record) {
   if (!this->has_begun || !record.known)
     return;
-  this->on_share(ShareOf(record.wave, this->shard, record.done), record.begun);
+  this->on_share(WaveShareFor(record.wave, this->shard, record.done),
+                 record.begun);
 }
 
 void WaveRecords::Report(const scheduler::ReportWave& report) {
@@ -143,7 +144,7 @@
     const Shard other{.number = number, .count = this->shard.count};
     const bool has_boxes = std::any_of(
         record.wave.boxes.begin(), record.wave.boxes.end(),
-        [&](const std::string& box) { return HoldsBox(other, box); });
+        [&](const std::string& box) { return ShardContainsBox(other, box); });
     if (has_boxes && !record.done.contains(number))
       return;
   }
