--- a/entry/owner_lease.cc
+++ b/entry/owner_lease.cc
@@ -7,16 +7,16 @@
 
 namespace {
 
-// The last order leaves this long before another may take over: steady clocks
-// that differ by 2% over the silence (26 ms), the way to a worker (some ms),
-// and a loop that turns late on a slow box.
+// Time between the holder's last order and the earliest takeover. Covers steady
+// clocks that differ by 2% over the owner's silence (26 ms), the transmission
+// to a worker (a few ms), and a delayed event loop on a slow box.
 constexpr base::Micros kOrderMargin = std::chrono::milliseconds(150);
 
 }  // namespace
 
-// The row may be written at any time after the first try was asked for, and the
-// others count from then. A later try of the same beat therefore extends
-// nothing.
+// The row may be written at any time after the first attempt was sent, and the
+// other daemons measure the silence from that write. A later attempt of the
+// same renewal therefore does not extend the lease.
 void OwnerLease::OnRenewalSent(std::uint64_t epoch,
                                std::uint64_t sequence,
                                base::Micros now,
@@ -30,7 +30,7 @@
   ++attempts.count;
 }
 
-// The fate of earlier tries of the same beat stays open.
+// Earlier attempts of the same renewal may still be written.
 void OwnerLease::OnRenewalNotWritten(std::uint64_t epoch,
                                      std::uint64_t sequence) {
   const auto found = this->pending.find({epoch, sequence});
--- a/entry/owner_lease.h
+++ b/entry/owner_lease.h
@@ -1,6 +1,6 @@
-// Until when the holder of the ownership may give orders, where neither workers
-// nor boxes refuse those of an earlier holder: it stops before another may take
-// over.
+// Validity of a shard ownership as its holder may assume it. Where workers and
+// boxes do not reject the orders of an earlier holder, the holder sends none
+// after the lease has expired, which is before another daemon may take over.
 
 #ifndef ENTRY_OWNER_LEASE_H_
 #define ENTRY_OWNER_LEASE_H_
@@ -15,31 +15,31 @@
 
 class OwnerLease {
  public:
-  // A confirmation with this beat is about to be written; others take over no
-  // sooner than `silence` after it has been.
+  // The renewal with this sequence number is about to be sent. Other daemons
+  // take over no sooner than `silence` after it is written.
   void OnRenewalSent(std::uint64_t epoch,
                      std::uint64_t sequence,
                      base::Micros now,
                      base::Micros silence);
-  // The last try has not been written, and never will be.
+  // The last attempt was not written and never will be.
   void OnRenewalNotWritten(std::uint64_t epoch, std::uint64_t sequence);
-  // The row holds it.
+  // The row contains this renewal.
   void OnRenewalWritten(std::uint64_t epoch, std::uint64_t sequence);
 
-  // Orders may leave before this; zero before the first confirmation.
+  // Orders may be sent before this time; zero before the first renewal.
   base::Micros valid_until() const { return this->expiry; }
-  // When the newest confirmation that the row holds was first asked for: what a
-  // later holder can tell of this one's, whatever answers were lost.
+  // When the newest renewal that the row is known to contain was first sent.
+  // A later holder can tell no more from the row, whichever answers were lost.
   base::Micros last_renewal() const { return this->renewed_at; }
 
  private:
   struct Attempts {
-    base::Micros first_sent{};  // when the first try was asked for
-    base::Micros expiry{};      // that it gives
+    base::Micros first_sent{};  // of the first attempt
+    base::Micros expiry{};      // of the lease, once written
     int count = 0;
   };
 
-  // Confirmations whose fate is open, by epoch and beat.
+  // Renewals with an unknown outcome, by epoch and sequence number.
   std::map<std::pair<std::uint64_t, std::uint64_t>, Attempts> pending;
   base::Micros expiry{};
   base::Micros renewed_at{};
--- a/entry/ownership.cc
+++ b/entry/ownership.cc
@@ -16,25 +16,26 @@
 using std::chrono::milliseconds;
 
 constexpr base::Micros kTickPeriod = milliseconds(50);
-// A beat that is nearer than this is passed over.
+// A renewal time closer than this to the last write is skipped.
 constexpr base::Micros kMinRenewalGap = milliseconds(250);
 constexpr base::Micros kRenewalRetryDelay = milliseconds(150);
-// Followers wait so much longer at most.
+// Range of the random delay that a daemon adds before a takeover.
 constexpr std::int64_t kTakeoverJitterMillis = 200;
 // A daemon whose box is weaker than the last holder's by more than this factor
-// waits so much longer: a stronger one, if any is left, goes first.
+// delays its takeover, so that a stronger one, if any is left, goes first.
 constexpr double kMuchStrongerFactor = 1.5;
 constexpr base::Micros kWeakerBoxDelay = milliseconds(400);
-// A holder on a much weaker box is relieved after it has held for this: each
-// change of holders interrupts placement for some 0.3 s.
+// A holder on a much weaker box is asked to hand over once it has held the
+// shard for this long: each change of holder interrupts placement for some
+// 0.3 s.
 constexpr base::Micros kHandoverRequestDelay = std::chrono::seconds(2);
-// The row is read once it has not changed for this: a feed without news answers
-// after 1.5 s only, and the silence of a store that answers nobody is none of
-// the holder. Leaves a slow store (60 times 4 ms) 0.3 s until a takeover is
-// due.
+// The row is read directly once it has not changed for this long. A feed
+// without changes answers only after 1.5 s, and an unresponsive store must not
+// be mistaken for a silent holder. Leaves a slow store (60 times 4 ms) 0.3 s to
+// answer before a takeover is due.
 constexpr base::Micros kReadRowAfter = milliseconds(1000);
-// A gap between the store's answers after which the silence counts anew: the
-// holder may have confirmed meanwhile.
+// After a longer gap between answers of the store, the holder's silence is
+// measured from the new answer: the holder may have renewed during the gap.
 constexpr base::Micros kMaxAnswerGap = milliseconds(2600);
 
 }  // namespace
@@ -89,7 +90,7 @@
     this->lease.OnRenewalWritten(decoded->epoch, decoded->beat);
   if (this->is_holder && !is_own)
     this->Lose();
-  // An own write whose answer was lost.
+  // The row contains a write of this daemon whose answer was lost.
   if (!this->is_holder && is_own && !this->released && !this->is_write_pending)
     this->Acquire();
   if (this->is_holder && !decoded->successor.empty())
@@ -104,7 +105,8 @@
   return this->events.cores() > kMuchStrongerFactor * this->record.cores;
 }
 
-// Drawn anew each time, so that one daemon takes over and the others see it.
+// Drawn anew for each row version, so that one daemon takes over first and the
+// others see its row.
 base::Micros Ownership::DrawTakeoverJitter() {
   const bool is_free = this->version == 0 || this->record.holder.empty();
   const std::int64_t spread =
@@ -112,7 +114,8 @@
   return milliseconds(this->random() % spread);
 }
 
-// A daemon that has come to hold another shard meanwhile waits longer.
+// Evaluated anew each time: a daemon that has acquired another shard since has
+// fewer cores for this one and waits longer.
 base::Micros Ownership::TakeoverDelay() const {
   const double cores = this->events.cores();
   if (this->version == 0)
@@ -125,7 +128,7 @@
 bool Ownership::ShouldTakeOver(base::Micros now) const {
   if (!this->table_read || this->released)
     return false;
-  // The store must be answering: else the holder's silence says nothing.
+  // While the store does not answer, the holder's silence proves nothing.
   if (now - this->last_answer > kMaxAnswerGap)
     return false;
   const base::Micros silent = now - this->unchanged_since;
@@ -162,8 +165,8 @@
                    });
 }
 
-// A holder on a much weaker box is asked to give up, once; it is not taken over
-// while it lives, since what it orders may be on its way.
+// A holder on a much weaker box is asked once to hand over. It is not taken
+// over while it is alive, since orders of it may be in flight.
 bool Ownership::ShouldRequestHandover(base::Micros now) const {
   return this->table_read && !this->released && this->version > 0 &&
          !this->record.holder.empty() && this->record.holder != this->id &&
@@ -180,8 +183,8 @@
   this->Write(next, false);
 }
 
-// The successor's cores stand in the row that it leaves, so that no weaker
-// daemon is quicker.
+// The released row carries the successor's core count, which delays weaker
+// daemons.
 void Ownership::HandOver() {
   this->is_handing_over = true;
   this->Lose();
@@ -251,11 +254,11 @@
   this->is_write_pending = false;
   this->takeover_pending = false;
   this->ApplyWriteResult(result, next, is_takeover, now);
-  // The row showed the takeover before its write was answered, or given up.
+  // The row was received before the takeover write completed or timed out.
   if (is_takeover && this->IsOwn(this->record) && !this->is_holder &&
       !this->released)
     this->Acquire();
-  // The stop came while another write was on its way.
+  // Release() or HandOver() was called while this write was in flight.
   const bool may_be_written =
       result.outcome != platform::WriteOutcome::kNotDone &&
       result.outcome != platform::WriteOutcome::kRefused;
@@ -291,7 +294,7 @@
       this->OnConflict(result);
       return;
     case platform::WriteOutcome::kUnknown:
-      // The wait for its answer was long enough.
+      // The wait for the answer was long enough; renew without another delay.
       this->next_renewal = now;
       this->unchanged_since = is_takeover ? now : this->unchanged_since;
       return;
@@ -309,8 +312,8 @@
   for (const platform::Row& current : result.rows)
     this->OnRow(current, false);
   this->unchanged_since = base::MonotonicNow();
-  // An own write whose answer was lost was in the way: the row still names
-  // this daemon.
+  // The conflicting write was made by this daemon, and its answer was lost: the
+  // row still names this daemon.
   if (this->is_holder && !result.rows.empty() &&
       result.rows.front().version == this->version)
     this->events.on_renewed(this->lease.last_renewal());
@@ -343,7 +346,8 @@
 }
 
 void Ownership::OnFenced() {
-  // The row tells the new holder soon; until then nothing is confirmed.
+  // The row of the new holder will follow; until then this daemon renews
+  // nothing.
   this->Lose();
   this->unchanged_since = base::MonotonicNow();
 }
--- a/entry/ownership.h
+++ b/entry/ownership.h
@@ -1,7 +1,7 @@
-// Which daemon schedules a shard. The shard's owner row in the store names
-// holder and epoch; the holder confirms it by rewriting it under its version,
-// and others take it over, under its version too, when it has not changed for a
-// while.
+// Ownership of a shard: which daemon schedules it. The shard's owner row in the
+// store names the holder and its epoch. The holder renews the row by a
+// conditional write on its version; other daemons take it over, by the same
+// kind of write, when it has not changed for kOwnerSilence.
 
 #ifndef ENTRY_OWNERSHIP_H_
 #define ENTRY_OWNERSHIP_H_
@@ -22,22 +22,22 @@
 class Ownership {
  public:
   struct Events {
-    // No holder before this one was confirmed after `previous_owner_renewal`.
+    // No previous holder renewed the row after `previous_owner_renewal`.
     std::function<void(std::uint64_t epoch,
                        base::Micros previous_owner_renewal)>
         on_gained;
     std::function<void()> on_lost;
-    // The row holds a confirmation that was first asked for at `asked`; calls
-    // for boxes leave before valid_until().
+    // The row contains a renewal that was first sent at `sent_at`. Calls for
+    // boxes are sent before valid_until().
     std::function<void(base::Micros sent_at)> on_renewed;
-    // The share of a processor that this daemon has for the shard: one with
-    // more takes the ownership from one with much less.
+    // Processor cores that this daemon has for the shard. A daemon with many
+    // more cores than the holder asks it to hand over.
     std::function<double()> cores;
-    // How the shard stands, while this daemon holds it.
+    // Load of the shard, reported with each renewal by its holder.
     std::function<ShardLoad()> load;
   };
 
-  // `id` names the daemon.
+  // `id` identifies the daemon.
   Ownership(base::Loop& loop,
             platform::Store& store,
             const Shard& shard,
@@ -45,27 +45,29 @@
             std::uint64_t seed,
             Events events);
 
-  // --- The owner table's news, from whoever follows it ---
-  // All its rows have been shown by now.
+  // --- Notifications from the follower of the owner table ---
+  // The whole table has been read; OnRow() is called with each of its rows.
   void OnTableRead() { this->table_read = true; }
   void OnRow(const platform::Row& row, bool removed);
   void OnStoreAnswered();
   void OnFeedLost();
 
-  // Gives it up, for good: others take over at once.
+  // Gives up the ownership for the rest of the process, so that another daemon
+  // takes over at once.
   void Release();
-  // A worker has seen a higher epoch: it is lost, whatever the row says.
+  // A worker has seen a higher epoch: the ownership is lost, even if the row
+  // still names this daemon.
   void OnFenced();
 
   bool holds() const { return this->is_holder; }
-  // Its own write of a takeover is on its way.
+  // A takeover write of this daemon is in flight.
   bool is_takeover_pending() const { return this->takeover_pending; }
-  // No other daemon takes over before this, with some slack for what is on its
-  // way.
+  // No other daemon takes over before this time; includes a margin for orders
+  // in flight.
   base::Micros valid_until() const { return this->lease.valid_until(); }
   const std::string& holder() const { return this->record.holder; }
   std::uint64_t epoch() const { return this->record.epoch; }
-  // As the holder last said.
+  // As last reported by the holder.
   const ShardLoad& load() const { return this->record.load; }
 
  private:
@@ -96,34 +98,33 @@
 
   platform::Store& store;
   platform::RowKey row;
-  bool is_single;  // the fleet is one shard: nobody else beats
+  bool is_single;  // only shard of the fleet, so renewals need no alignment
   std::string id;
   std::string incarnation;
   std::mt19937_64 random;
   Events events;
   OwnerLease lease;
-  OwnerRecord record;         // as last seen
-  std::uint64_t version = 0;  // of the row; 0: there is none
-  bool table_read = false;    // the row, or its absence, has been seen
+  OwnerRecord record;         // last row received
+  std::uint64_t version = 0;  // of the row; 0: no row
+  bool table_read = false;    // the row, or its absence, is known
   bool is_holder = false;
   bool released = false;
-  bool is_handing_over = false;  // gives up for a stronger one
+  bool is_handing_over = false;  // to a daemon on a stronger box
   bool is_write_pending = false;
   bool takeover_pending = false;
-  bool is_read_pending = false;  // reads the row before it takes over
-  // The last epochs that this daemon held, and lost: an old row that shows up
-  // late does not bring one back.
+  bool is_read_pending = false;  // of the row, before a takeover
+  // The last epochs that this daemon held and lost. They keep an old row that
+  // arrives late from restoring a lost ownership.
   std::uint64_t held_epoch = 0;
   std::uint64_t lost_epoch = 0;
   base::Micros unchanged_since{};
-  // When the last row of another holder was first seen: none of them was
-  // confirmed later.
+  // Upper bound on the last renewal by any previous holder: when the last row
+  // of another holder was first seen.
   base::Micros previous_owner_renewal{};
-  base::Micros holder_since{};  // when the present holder was first seen
+  base::Micros holder_since{};  // when the current holder was first seen
   base::Micros last_answer{};
   base::Micros next_renewal{};
-  base::Micros
-      takeover_jitter{};  // of the wait until a silent holder is replaced
+  base::Micros takeover_jitter{};  // random part of TakeoverDelay()
   base::Timer timer;
 };
 
--- a/entry/ownerships.cc
+++ b/entry/ownerships.cc
@@ -9,12 +9,13 @@
 
 namespace {
 
-// A look at the owner table follows a beat by this: the holders' loops turn
-// each 50 ms, and a quick store takes some 9 ms. One look shows the beats of
-// all holders; a look at each change took 32,540 calls of the store on a calm
-// day of 50 s (97 daemons, four holders, counted by table).
+// Delay of a read of the owner table after a renewal time. Holders check every
+// 50 ms whether to renew, and a fast store answers in about 9 ms. One read then
+// returns the renewals of all holders; a read after each change took 32,540
+// store calls in a calm day of 50 s (97 daemons, four holders, calls counted by
+// table).
 constexpr base::Micros kReadDelayAfterRenewal = std::chrono::milliseconds(80);
-// While the store's clock is not known.
+// Pause between reads while the store's clock is unknown.
 constexpr base::Micros kReadPauseWithoutClock = std::chrono::milliseconds(150);
 
 platform::TableFollower::Pace PaceFor(const platform::Store& store,
@@ -105,10 +106,10 @@
           .load = [this, shard] { return this->events.load(shard); }};
 }
 
-// A daemon's processor is shared by what it holds: with each further shard it
-// counts as a weaker box, so that one which holds none goes first. The shard
-// that it came to first keeps counting whole, so that only the later ones are
-// asked for.
+// The shards that a daemon holds share its processor. Each further shard counts
+// with fewer cores, so that a daemon without a shard takes it over first. The
+// first shard counts with all cores, so that other daemons request a handover
+// of the later ones only.
 double Ownerships::CoresFor(int shard) const {
   const auto at =
       std::find(this->held_shards.begin(), this->held_shards.end(), shard);
--- a/entry/ownerships.h
+++ b/entry/ownerships.h
@@ -1,5 +1,5 @@
-// The owner rows of all shards, followed by one feed, and which of them this
-// daemon holds.
+// Ownership of all shards: follows the owner rows through one table feed and
+// tracks which shards this daemon holds.
 
 #ifndef ENTRY_OWNERSHIPS_H_
 #define ENTRY_OWNERSHIPS_H_
@@ -19,7 +19,7 @@
 
 class Ownerships {
  public:
-  // What comes of the shard of this number; see Ownership::Events.
+  // Callbacks with the number of the shard; see Ownership::Events.
   struct Events {
     std::function<void(int shard,
                        std::uint64_t epoch,
@@ -28,11 +28,11 @@
     std::function<void(int shard)> on_lost;
     std::function<void(int shard, base::Micros sent_at)> on_renewed;
     std::function<ShardLoad(int shard)> load;
-    // The store answered this daemon.
+    // Called with every answer of the store to the owner table's feed.
     std::function<void()> on_store_answered;
   };
 
-  // `id` names the daemon, `cores` is its box's share of a processor.
+  // `id` identifies the daemon; `cores` are the processor cores of its box.
   Ownerships(base::Loop& loop,
              platform::Store& store,
              const std::string& id,
@@ -41,15 +41,16 @@
              std::uint64_t seed,
              Events events);
 
-  // Gives all of them up, for good: others take over at once.
+  // Gives up all shards for the rest of the process, so that other daemons take
+  // over at once.
   void Release();
 
   Ownership& At(int shard) {
     return *this->rows[static_cast<std::size_t>(shard)];
   }
-  // How each shard stands, as its holder last said.
+  // Load of each shard, as last reported by its holder.
   std::vector<ShardLoad> Loads() const;
-  // Shards that this daemon holds, in the order in which it came to them.
+  // Shards that this daemon holds, in the order in which it acquired them.
   const std::vector<int>& held() const { return this->held_shards; }
 
  private:
--- a/entry/renewal_schedule.h
+++ b/entry/renewal_schedule.h
@@ -1,5 +1,6 @@
-// When the holders of several shards confirm: at the same moments of the
-// store's clock, so that one look at the owner table shows all of them.
+// Schedule of ownership renewals. The holders of all shards renew at the same
+// times of the store's clock, so that one read of the owner table returns all
+// renewals of a period.
 
 #ifndef ENTRY_RENEWAL_SCHEDULE_H_
 #define ENTRY_RENEWAL_SCHEDULE_H_
@@ -11,12 +12,12 @@
 
 namespace quartzhoist::entry {
 
-// A holder confirms this often; each confirmation is a write, and a read for
-// every daemon that follows.
+// Interval between two renewals of an ownership. Each renewal costs one write,
+// and one read by every daemon that follows the owner table.
 inline constexpr base::Micros kRenewalPeriod = std::chrono::milliseconds(450);
 
-// How long it is, at this moment of the store's clock, until the next beat that
-// is at least so far away.
+// Returns the time from `store_ms` on the store's clock to the first renewal
+// time that is at least `min_wait` away.
 base::Micros TimeUntilRenewal(std::int64_t store_ms, base::Micros min_wait);
 
 }  // namespace quartzhoist::entry
