--- a/entry/shard_count_resolver.cc
+++ b/entry/shard_count_resolver.cc
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 constexpr base::Micros kReadRetryDelay = milliseconds(150);
-// Workers announce themselves within some heartbeats (1 to 1.5 s on the sites)
-// of a fleet's start. The count is settled when two looks, this long apart,
-// found as many, or after the longest wait.
+// Workers register within a few heartbeats (1 to 1.5 s on the sites) of a
+// fleet's start. The count is final when two reads, kRecountDelay apart, find
+// the same number of workers, or after kMaxCountDuration.
 constexpr base::Micros kRecountDelay = milliseconds(600);
 constexpr base::Micros kMaxCountDuration = milliseconds(5000);
 
@@ -91,7 +91,7 @@
       });
 }
 
-// A fleet that is still starting up would be taken for a small one.
+// A single count of a fleet that is still starting would be too small.
 void ShardCountResolver::OnWorkerCount(std::size_t workers) {
   const bool is_steady = workers > 0 && this->last_count == workers;
   const bool is_timed_out =
@@ -101,7 +101,8 @@
     this->WriteCount(ShardCountFor(workers, this->workers_per_owner));
 }
 
-// Whoever comes second finds the first one's row.
+// The condition fails if another daemon has written the row; its count is then
+// read.
 void ShardCountResolver::WriteCount(int count) {
   const platform::WriteBatch batch{
       .conditions = {{.at = ShardRow(), .version = 0}},
--- a/entry/shard_count_resolver.h
+++ b/entry/shard_count_resolver.h
@@ -1,6 +1,6 @@
-// Learns in how many shards the fleet is scheduled. The count stands in a row
-// of the store; the first daemon that finds none counts the workers and writes
-// it, once and for all.
+// Determines the number of shards of the fleet. The count is kept in a row of
+// the store. The first daemon that finds no row counts the workers and writes
+// it; it never changes afterwards.
 
 #ifndef ENTRY_SHARD_COUNT_RESOLVER_H_
 #define ENTRY_SHARD_COUNT_RESOLVER_H_
@@ -20,8 +20,8 @@
 
 class ShardCountResolver {
  public:
-  // `cores`: of the daemon's box; a stronger one counts sooner. `on_resolved`
-  // is called once.
+  // `cores` are those of the daemon's box; a stronger box counts the workers
+  // sooner. `on_resolved` is called once.
   ShardCountResolver(base::Loop& loop,
                      platform::Store& store,
                      double cores,
@@ -43,12 +43,12 @@
   platform::Store& store;
   std::size_t workers_per_owner;
   std::function<void(int count)> on_resolved;
-  base::Micros count_delay{};  // until this daemon settles the count
+  base::Micros count_delay{};  // before this daemon counts the workers
   std::optional<base::Micros> missing_since;
-  std::optional<std::size_t> last_count;  // workers, when last counted
+  std::optional<std::size_t> last_count;  // of workers
   bool is_resolved = false;
   base::Timer timer;
-  // Calls still on their way when this is destroyed find it unset.
+  // Set to false on destruction, for callbacks of calls still in flight.
   std::shared_ptr<bool> alive;
 };
 
--- a/entry/shard_selector.cc
+++ b/entry/shard_selector.cc
@@ -9,13 +9,14 @@
 
 namespace {
 
-// Shards whose loads differ by less are taken as equal: the figures are up to
-// 0.6 s old, and all daemons that read the same ones would crowd into one.
+// Loads that differ by less count as equal: reported loads are up to 0.6 s old,
+// and all daemons that read the same ones would choose the same shard.
 constexpr int kMinLoadDifference = 15;  // percent
-// A lasting job stays away from its pool's shard while that is fuller than
-// this: its tasks would wait, or push others out.
+// A lasting job is not assigned to its pool's preferred shard at this load or
+// above: its tasks would wait, or displace others.
 constexpr int kMaxPreferredLoad = 150;  // percent
-// Of a shard whose owner has not spoken of the pool yet: others go first.
+// Load assumed of a shard whose owner has not reported the pool yet, so that
+// other shards are preferred.
 constexpr int kAssumedLoad = 300;  // percent
 
 bool IsLasting(const jobs::JobSpec& job) {
@@ -23,7 +24,7 @@
                      [](const jobs::Step& step) { return step.lasting; });
 }
 
-// Nothing while the shard's owner has not spoken of the pool.
+// Returns nothing while the shard's owner has not reported the pool.
 std::optional<int> ReportedLoad(const ShardLoad& load,
                                 const std::string& pool) {
   const auto found = load.load_percent_by_pool.find(pool);
@@ -37,7 +38,7 @@
   return std::find(box_kinds.begin(), box_kinds.end(), kind) != box_kinds.end();
 }
 
-// A rack's label stands in no list of kinds: each shard has boxes of all racks.
+// Labels of racks are in no list of kinds: each shard has boxes of all racks.
 bool HasBoxKinds(const ShardLoad& load,
                  const jobs::JobSpec& job,
                  const std::vector<std::string>& all_kinds) {
@@ -48,7 +49,8 @@
       });
 }
 
-// Shards that have the kinds of boxes which the job asks for; all, if none has.
+// Returns the shards that have the kinds of boxes the job requires, or all
+// shards if none has them.
 std::vector<int> EligibleShards(const jobs::JobSpec& job,
                                 const std::vector<ShardLoad>& loads) {
   std::vector<std::string> all_kinds;
@@ -65,8 +67,8 @@
   return eligible.empty() ? all : eligible;
 }
 
-// The pools that run jobs, each in a shard of its own as far as there are
-// enough, in the order of their names.
+// Assigns the pools that run jobs to shards in the order of the pools' names,
+// each to a different shard as far as there are enough.
 int PreferredShard(const jobs::Config& config,
                    const std::string& pool,
                    int shards) {
@@ -76,7 +78,7 @@
   return earlier_pools % shards;
 }
 
-// An equal share of a quota is to hold so many jobs at least.
+// Number of jobs that an equal share of a quota must fit.
 constexpr std::int64_t kMinJobsPerShare = 4;
 
 bool ExceedsQuotaShare(std::int64_t task_amount,
@@ -88,9 +90,9 @@
 
 }  // namespace
 
-// With sixteen shards a sixteenth of a small quota holds no job: each one would
-// first have to borrow from the other shards, by writes that all of them make
-// to one row. Its jobs together need one shard's share, which is lent once.
+// With sixteen shards, a sixteenth of a small quota fits no job: each job would
+// first have to borrow from the other shards, which all write to the same row.
+// In a single shard the organisation's jobs borrow only once.
 std::optional<int> HomeShardFor(const jobs::Organisation& organisation,
                                 const jobs::JobSpec& job,
                                 int shards) {
@@ -106,7 +108,7 @@
                ExceedsQuotaShare(step.each.gpus, step.tasks, quota.gpus,
                                  shards);
       });
-  // A job that asks for a kind of box goes where there is one.
+  // A job that requires a kind of box goes to a shard that has it.
   const bool requires_box_kind =
       std::any_of(job.steps.begin(), job.steps.end(),
                   [](const jobs::Step& step) { return !step.label.empty(); });
@@ -119,10 +121,10 @@
 
 ShardSelector::ShardSelector(std::uint64_t seed) : random(seed) {}
 
-// Lasting tasks that may not share a box pin one each to their pool, some 30 of
-// a job: spread over four shards they pinned 243 of 540 boxes on a calm day,
-// and one shard could not follow a pool's demand (waits of 10 s). Kept together
-// they share the same boxes.
+// Lasting tasks of a job (about 30) that must not share a box each pin one to
+// their pool. Spread over four shards, such jobs pinned 243 of 540 boxes on a
+// calm day, and one shard could not follow a pool's demand (waits of 10 s). In
+// one shard they share the same boxes.
 int ShardSelector::Select(const jobs::Config& config,
                           const jobs::Queue& queue,
                           const jobs::JobSpec& job,
@@ -144,8 +146,9 @@
                                  : this->SelectByLoad(pool, loads, eligible);
 }
 
-// Of two shards drawn at random the less loaded one: what waits evens out,
-// without a rush of all daemons to the one that was least loaded a moment ago.
+// Selects the less loaded of two random shards (power of two choices). This
+// balances the queues without all daemons choosing the shard that was the least
+// loaded in their outdated figures.
 int ShardSelector::SelectByLoad(const std::string& pool,
                                 const std::vector<ShardLoad>& loads,
                                 const std::vector<int>& eligible) {
--- a/entry/shard_selector.h
+++ b/entry/shard_selector.h
@@ -1,5 +1,5 @@
-// Decides which shard takes a new job: the load there, as its owners last said,
-// and where lasting tasks of the same pool are. Pure.
+// Selects the shard for a new job by the loads that the shards' owners last
+// reported and by where lasting tasks of the same pool run. Performs no I/O.
 
 #ifndef ENTRY_SHARD_SELECTOR_H_
 #define ENTRY_SHARD_SELECTOR_H_
@@ -17,17 +17,17 @@
 
 namespace quartzhoist::entry {
 
-// How a shard stands, as its owner says with each beat.
+// Load of a shard, reported by its owner with each renewal.
 struct ShardLoad {
-  // By pool: the cores that its work takes or waits for, in percent of those
-  // that the shard could give it.
+  // By pool: cores used and queued for, in percent of the cores that the shard
+  // can give to the pool.
   std::map<std::string, int> load_percent_by_pool;
-  // Kinds of boxes that the shard has.
+  // Kinds of boxes in the shard.
   std::vector<std::string> box_kinds;
 };
 
-// The shard that takes all such jobs of an organisation, where its quota is too
-// small to be shared out; nothing where any shard may take them.
+// Returns the shard that takes all such jobs of an organisation if its quota is
+// too small to be divided among the shards; nothing if any shard may take them.
 std::optional<int> HomeShardFor(const jobs::Organisation& organisation,
                                 const jobs::JobSpec& job,
                                 int shards);
@@ -36,7 +36,8 @@
  public:
   explicit ShardSelector(std::uint64_t seed);
 
-  // The number of one of the shards, which are at least one.
+  // Returns the number of the selected shard. `loads` has an entry for each
+  // shard and is not empty.
   int Select(const jobs::Config& config,
              const jobs::Queue& queue,
              const jobs::JobSpec& job,
--- a/entry/shards.cc
+++ b/entry/shards.cc
@@ -13,7 +13,7 @@
                           static_cast<unsigned>(count));
 }
 
-// How many boxes of the wave each shard holds.
+// Returns the number of the wave's boxes in each shard.
 std::vector<int> CountBoxesByShard(const scheduler::Wave& wave, int count) {
   std::vector<int> boxes(static_cast<std::size_t>(count));
   for (const std::string& box : wave.boxes)
@@ -21,8 +21,9 @@
   return boxes;
 }
 
-// What may be away at once, shared out in proportion to the boxes: the shares
-// add up to the whole, and every daemon works out the same ones.
+// Divides the limit of boxes that may be away at once in proportion to the
+// shards' boxes. The shares add up to the limit, and every daemon computes the
+// same ones.
 std::vector<int> InitialShares(const std::vector<int>& boxes,
                                int most_at_once) {
   std::int64_t total = 0;
@@ -55,9 +56,9 @@
   return ShardOfBox(box, shard.count) == shard.number;
 }
 
-// A shard that is done leaves its share to the next one, in a ring, that is
-// not. Done is final, and a share has one heir at a time: daemons that have not
-// heard of the same ends still never use one share twice.
+// The share of a completed shard passes to the next shard in ring order that is
+// not complete. Completion is final and each share has one successor at a time,
+// so no share is used twice even by daemons that know of different completions.
 scheduler::Wave WaveShareFor(const scheduler::Wave& wave,
                              const Shard& shard,
                              const std::set<int>& done) {
--- a/entry/shards.h
+++ b/entry/shards.h
@@ -1,6 +1,6 @@
-// How the fleet is shared out among owners. A shard is a share of the boxes of
-// every pool, and the jobs that were given to it; one daemon at a time owns it,
-// under an epoch of its own. A small fleet is one shard.
+// Partition of the fleet into shards. A shard is a subset of the boxes of every
+// pool together with the jobs assigned to it. One daemon at a time owns it,
+// under an epoch of its own. A small fleet is a single shard.
 
 #ifndef ENTRY_SHARDS_H_
 #define ENTRY_SHARDS_H_
@@ -25,15 +25,16 @@
 
 inline constexpr int kMaxShards = 64;
 
-// In how many shards a fleet of so many workers is scheduled, at most so many
-// workers to a shard in the mean.
+// Returns the smallest power of two of shards, up to kMaxShards, with at most
+// `workers_per_owner` workers per shard on average.
 int ShardCountFor(std::size_t workers, std::size_t workers_per_owner);
 
-// The same in every daemon, for good: a box does not change its shard.
+// Gives the same result in every daemon and version: a box never changes its
+// shard.
 bool ShardContainsBox(const Shard& shard, std::string_view box);
 
-// The shard's share of a wave: its own boxes, and how many of them may be away.
-// `done`: shards whose share of the wave is over.
+// Returns the shard's share of a wave: its own boxes, and how many of them may
+// be away at once. `done` lists the shards that have completed their share.
 scheduler::Wave WaveShareFor(const scheduler::Wave& wave,
                              const Shard& shard,
                              const std::set<int>& done);
