--- a/entry/ownership_test.cc
+++ b/entry/ownership_test.cc
@@ -1,4 +1,4 @@
-// Who owns: takeovers, and until when a holder may order.
+// Tests of shard ownership: takeovers, and the validity of the holder's lease.
 
 #include <algorithm>
 #include <cstdint>
@@ -20,7 +20,7 @@
 using testing::StoreBench;
 using testing::StoreStandin;
 
-// A daemon, and what came to it of each shard.
+// A daemon that records the callbacks of its ownerships.
 struct TestDaemon {
   TestDaemon(base::Loop& loop,
              platform::Store& store,
@@ -77,7 +77,7 @@
 
 BOOST_AUTO_TEST_CASE(SilentOwnerIsTakenOver) {
   StoreBench bench;
-  // A holder that confirms nothing.
+  // A holder that renews nothing.
   bench.standin.Put(
       OwnerRow({}),
       EncodeOwner(
@@ -87,9 +87,9 @@
   BOOST_TEST(a.epoch == 8U);
 }
 
-// The store falls silent for all: that says nothing of the holder. A takeover
-// that was sent into the silence was made when it ended, and the next owner
-// waited 10.5 s for a worker that had died meanwhile.
+// An unresponsive store must not be mistaken for a silent holder. Once, a
+// takeover sent during such an outage was written when the outage ended, and
+// the new owner waited 10.5 s for a worker that had died meanwhile.
 BOOST_AUTO_TEST_CASE(SilentStoreIsNoSilentOwner) {
   StoreBench bench;
   bench.standin.Put(OwnerRow({}), EncodeOwner({.holder = "lives",
@@ -107,7 +107,8 @@
   bench.standin.SetMood(StoreStandin::Mood::kWell);
   bench.Until([&] { return a.ownership.holds(); });
   BOOST_TEST(a.epoch == 8U);
-  // What the silent holder granted is waited out from here, not from now.
+  // Grants of the silent holder are waited out from when its row was seen, not
+  // from the takeover.
   BOOST_CHECK(a.previous_owner_renewal > base::Micros::zero());
   BOOST_CHECK(a.previous_owner_renewal <= seen);
 }
@@ -144,7 +145,8 @@
   BOOST_TEST(equal.epoch == 0U);
 }
 
-// Each write is made and not answered; the next finds the row as it left it.
+// Each write is made but not answered; the next attempt conflicts with the row
+// that it left.
 BOOST_AUTO_TEST_CASE(OwnerRenewsThoughEveryAnswerIsLost) {
   StoreBench bench;
   TestDaemon a(bench.loop, bench.store, "a");
@@ -159,7 +161,7 @@
   BOOST_TEST(a.epoch == 1U);
 }
 
-// A write that was made before the loss shows up after it.
+// A write that was made before the loss of the ownership is received after it.
 BOOST_AUTO_TEST_CASE(OldRowDoesNotBringALostEpochBack) {
   StoreBench bench;
   TestDaemon a(bench.loop, bench.store, "a");
@@ -180,8 +182,8 @@
   return held;
 }
 
-// Far above the two seconds after which one with two shards is asked for
-// renewal.
+// Far above the two seconds after which a daemon with two shards is asked to
+// hand one over.
 constexpr base::Micros kTimeout = std::chrono::seconds(20);
 
 BOOST_AUTO_TEST_CASE(EachShardGoesToADifferentDaemon) {
@@ -192,7 +194,7 @@
   TestDaemon c(bench.loop, bench.store, "c", 0.5, kShards);
   TestDaemon d(bench.loop, bench.store, "d", 0.5, kShards);
   const std::vector<const TestDaemon*> all = {&a, &b, &c, &d};
-  // One that came to two makes way for one that has none.
+  // A daemon that acquired two shards hands one over to a daemon with none.
   BOOST_REQUIRE(bench.Within(kTimeout, [&] {
     return std::all_of(all.begin(), all.end(), [](const TestDaemon* daemon) {
       return daemon->ownerships.held().size() == 1;
@@ -217,7 +219,7 @@
   BOOST_TEST(b.epoch >= 2U);
 }
 
-// --- When the holder must stop ---
+// --- Expiry of the lease ---
 
 constexpr base::Micros kSilence = std::chrono::milliseconds(1300);
 
@@ -225,11 +227,11 @@
   std::uint64_t beat = 0;
   base::Micros sent_at{};
   bool is_written = false;
-  base::Micros written_at{};  // when the row holds it, if it is made
+  base::Micros written_at{};  // if it is written
 };
 
-// A holder whose renewals are answered, lost, refused, or made late; the
-// others count the silence from when the row last changed.
+// Renewals are answered, lost, refused, or written late. Other daemons measure
+// the silence from the last change of the row.
 RC_BOOST_PROP(HolderStopsBeforeAnotherMayTakeOver, ()) {
   OwnerLease lease;
   base::Micros now = std::chrono::seconds(10);
@@ -252,7 +254,8 @@
                        .sent_at = now,
                        .is_written = is_written,
                        .written_at = written_at});
-    // The row's first try of a beat that is made counts; later ones find it.
+    // Only the first written attempt of a renewal changes the row; later ones
+    // conflict with it.
     if (!is_written)
       continue;
     const auto first = std::find_if(
@@ -265,7 +268,7 @@
     now = std::max(now, written_at);
     lease.OnRenewalWritten(1, beat);
     ++beat;
-    // What has not been made by then never is: its condition fails.
+    // Attempts not written by now never will be: their version condition fails.
     RC_ASSERT(lease.valid_until() < last_change + kSilence);
   }
 }
@@ -275,13 +278,13 @@
   const base::Micros now = std::chrono::seconds(5);
   lease.OnRenewalSent(3, 0, now, kSilence);
   BOOST_TEST(lease.valid_until().count() == 0);
-  // Another try of the same beat extends nothing: the first may be the one that
-  // was made.
+  // Another attempt of the same renewal does not extend the lease: the first
+  // may be the one that was written.
   lease.OnRenewalSent(3, 0, now + std::chrono::seconds(1), kSilence);
   lease.OnRenewalWritten(3, 0);
   BOOST_CHECK(lease.valid_until() > now);
   BOOST_CHECK(lease.valid_until() < now + kSilence);
-  // Nor does a beat of another epoch.
+  // Nor does a renewal of another epoch.
   lease.OnRenewalWritten(4, 0);
   BOOST_CHECK(lease.valid_until() < now + kSilence);
 }
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -1,4 +1,5 @@
-// How the fleet is shared out among owners.
+// Tests of the partition into shards, the choice of a shard for a job, and the
+// shard count.
 
 #include <algorithm>
 #include <map>
@@ -31,7 +32,7 @@
   return wave;
 }
 
-// A small quota in many shards: no share of it would hold a job.
+// A small quota divided among many shards leaves no share that fits a job.
 BOOST_AUTO_TEST_CASE(SmallQuotaIsNotScatteredOverShards) {
   jobs::JobSpec job;
   job.steps.resize(1);
@@ -62,8 +63,8 @@
   BOOST_TEST(ShardCountFor(1'000'000, 200) == kMaxShards);
 }
 
-// A job that is handed in again meets its own row, whichever shard either
-// daemon chose for it; and both rows go into one write.
+// A resubmitted job finds its own row, whichever shard was selected for it by
+// either daemon, and both of its rows fit into one write.
 RC_BOOST_PROP(JobsRowsLieTogether, (const std::string& job)) {
   const int count = 1 << *rc::gen::inRange(0, 7);
   const Shard shard{.number = *rc::gen::inRange(0, count), .count = count};
@@ -74,8 +75,8 @@
             JobParts().end());
 }
 
-// Whatever each shard has heard of the others' ends, together they never have
-// more away than the wave allows; and a wave never gets stuck.
+// Whichever completions of other shards each shard knows of, all shards
+// together never exceed the wave's limit, and the wave always progresses.
 RC_BOOST_PROP(SharesOfAWaveStayWithinItsLimit, ()) {
   const int count = 1 << *rc::gen::inRange(0, 5);
   const int most_at_once = *rc::gen::inRange(1, 40);
@@ -133,8 +134,8 @@
   return job;
 }
 
-// Four pools' lasting jobs, handed in by turns: each pool's stay together, and
-// no two pools' share a shard.
+// Lasting jobs of four pools, submitted in turn: those of one pool stay in one
+// shard, and no two pools use the same shard.
 BOOST_AUTO_TEST_CASE(LastingJobsOfAPoolShareAShard) {
   ShardSelector selector(1);
   std::map<std::string, std::set<int>> homes;
@@ -180,14 +181,14 @@
     BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), job, loads) == 2);
     BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), lasting, loads) == 2);
   }
-  // One that nobody has may come: any shard will do.
+  // No shard has this kind of box: any shard is accepted.
   job.steps.front().label = "unheard of";
   BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), job, loads) < 4);
 }
 
-// A pool's demand is at its height and one shard holds little of what it can
-// use: shards take new work by what they can carry, though the figures are half
-// a second old.
+// At peak demand of a pool of which one shard has fewer boxes, jobs are spread
+// in proportion to the shards' capacity, although the reported loads are half a
+// second old.
 BOOST_AUTO_TEST_CASE(JobsGoWhereThereIsRoom) {
   constexpr int kShards = 4;
   constexpr double kJobCores = 19.0;
@@ -209,11 +210,11 @@
   for (std::size_t s = 0; s < kShards; ++s)
     load.push_back(taken[s] / cores[s]);
   const auto [least, most] = std::minmax_element(load.begin(), load.end());
-  // By turns the small shard would stand at 1.9, the others at 0.95.
+  // Round robin would load the small shard to 1.9, the others to 0.95.
   BOOST_TEST(*most - *least < 0.45);
 }
 
-// Two daemons that would settle on different counts, and come at the same time.
+// Two daemons that would write different counts start at the same time.
 BOOST_AUTO_TEST_CASE(DaemonsThatCountAtOnceAgree) {
   StoreBench bench;
   for (int i = 0; i < 8; ++i)
@@ -241,7 +242,7 @@
                          [&](int count) { first = count; });
   bench.Until([&] { return first > 0; });
   BOOST_TEST(first == 2);
-  // The fleet has grown since; the count stays.
+  // The fleet grows; the count stays.
   for (int i = 5; i < 50; ++i)
     bench.standin.Put({.table = "servers", .part = "", .key = BoxName(i)},
                       "{}");
--- a/entry/suspension_test.cc
+++ b/entry/suspension_test.cc
@@ -1,4 +1,4 @@
-// A machine that is suspended: the steady clock stands, time goes on.
+// Tests of a suspended machine, whose steady clock stops while time passes.
 
 #include <chrono>
 #include <cstdint>
@@ -24,7 +24,8 @@
   return base::BootTimeNow() + suspended;
 }
 
-// The loop's timers do not see what the clock counts while this lives.
+// Adds the suspended time to the monotonic clock while this object exists. The
+// loop's timers do not count it.
 struct SuspendableClock {
   SuspendableClock() {
     suspended = {};
@@ -42,8 +43,8 @@
   BOOST_CHECK(now <= base::BootTimeNow());
 }
 
-// An order was decided, and the machine is suspended before it leaves: on a new
-// connection, on one that was kept open, and behind another order.
+// The machine is suspended after an order was decided and before it is sent: on
+// a new connection, on a kept one, and after another order.
 BOOST_AUTO_TEST_CASE(OrderThatWasDecidedBeforeASuspensionDoesNotLeave) {
   const SuspendableClock clock;
   base::Loop loop;
@@ -85,8 +86,8 @@
   BOOST_TEST(server.requests() == 1);
 }
 
-// What it knew before it slept proves nothing on waking, before any timer has
-// fired; the store is asked, and then it is certain again.
+// After a suspension the ownership must not count as valid, even before any
+// timer has fired, until it has been renewed in the store.
 BOOST_AUTO_TEST_CASE(OwnerThatWasSuspendedIsNotCertainUntilItHasAsked) {
   const SuspendableClock clock;
   testing::StoreBench bench;
