--- a/entry/ownership_test.cc
+++ b/entry/ownership_test.cc
@@ -162,7 +162,7 @@
 }
 
 // A write that was made before the loss of the ownership is received after it.
-BOOST_AUTO_TEST_CASE(OldRowDoesNotBringALostEpochBack) {
+BOOST_AUTO_TEST_CASE(LateRowDoesNotRestoreALostEpoch) {
   StoreBench bench;
   TestDaemon a(bench.loop, bench.store, "a");
   bench.Until([&] { return a.ownership.holds(); });
@@ -224,7 +224,7 @@
 constexpr base::Micros kSilence = std::chrono::milliseconds(1300);
 
 struct Renewal {
-  std::uint64_t beat = 0;
+  std::uint64_t sequence = 0;
   base::Micros sent_at{};
   bool is_written = false;
   base::Micros written_at{};  // if it is written
@@ -236,21 +236,21 @@
   OwnerLease lease;
   base::Micros now = std::chrono::seconds(10);
   base::Micros last_change = now;
-  std::uint64_t beat = 0;
+  std::uint64_t sequence = 0;
   std::vector<Renewal> pending;
   const int steps = *rc::gen::inRange(1, 40);
   for (int i = 0; i < steps; ++i) {
     now += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
-    lease.OnRenewalSent(1, beat, now, kSilence);
-    const int fate = *rc::gen::inRange(0, 4);
+    lease.OnRenewalSent(1, sequence, now, kSilence);
+    const int outcome = *rc::gen::inRange(0, 4);
     const base::Micros written_at =
         now + std::chrono::milliseconds(*rc::gen::inRange(1, 500));
-    if (fate == 0) {  // refused
-      lease.OnRenewalNotWritten(1, beat);
+    if (outcome == 0) {  // refused
+      lease.OnRenewalNotWritten(1, sequence);
       continue;
     }
-    const bool is_written = fate != 1;
-    pending.push_back({.beat = beat,
+    const bool is_written = outcome != 1;
+    pending.push_back({.sequence = sequence,
                        .sent_at = now,
                        .is_written = is_written,
                        .written_at = written_at});
@@ -260,14 +260,14 @@
       continue;
     const auto first = std::find_if(
         pending.begin(), pending.end(), [&](const Renewal& renewal) {
-          return renewal.beat == beat && renewal.is_written;
+          return renewal.sequence == sequence && renewal.is_written;
         });
     last_change = std::max(last_change, first->written_at);
-    if (fate == 3)  // its answer is lost
+    if (outcome == 3)  // its answer is lost
       continue;
     now = std::max(now, written_at);
-    lease.OnRenewalWritten(1, beat);
-    ++beat;
+    lease.OnRenewalWritten(1, sequence);
+    ++sequence;
     // Attempts not written by now never will be: their version condition fails.
     RC_ASSERT(lease.valid_until() < last_change + kSilence);
   }
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -65,7 +65,7 @@
 
 // A resubmitted job finds its own row, whichever shard was selected for it by
 // either daemon, and both of its rows fit into one write.
-RC_BOOST_PROP(JobsRowsLieTogether, (const std::string& job)) {
+RC_BOOST_PROP(RowsOfAJobShareAPart, (const std::string& job)) {
   const int count = 1 << *rc::gen::inRange(0, 7);
   const Shard shard{.number = *rc::gen::inRange(0, count), .count = count};
   const platform::RowKey row = JobRow(job, shard);
@@ -95,12 +95,12 @@
     boxes += WaveShareFor(wave, shard, {}).boxes.size();
     if (done.contains(number))
       continue;
-    std::set<int> heard;
+    std::set<int> known_done;
     for (const int other : done) {
       if (*rc::gen::arbitrary<bool>())
-        heard.insert(other);
+        known_done.insert(other);
     }
-    const scheduler::Wave share = WaveShareFor(wave, shard, heard);
+    const scheduler::Wave share = WaveShareFor(wave, shard, known_done);
     away += share.boxes.empty() ? 0 : share.most_at_once;
     has_open_boxes = has_open_boxes || !share.boxes.empty();
     informed +=
@@ -152,7 +152,7 @@
   BOOST_TEST(all.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(LastingJobsLeaveAFullShardAlone) {
+BOOST_AUTO_TEST_CASE(LastingJobsAvoidAFullShard) {
   ShardSelector selector(1);
   std::vector<ShardLoad> loads(4);
   const int home =
@@ -194,21 +194,21 @@
   constexpr double kJobCores = 19.0;
   const std::vector<double> cores = {2000, 2000, 2000, 1000};
   ShardSelector selector(7);
-  std::vector<double> taken(kShards);
-  for (int beat = 0; beat < 20; ++beat) {
+  std::vector<double> assigned_cores(kShards);
+  for (int period = 0; period < 20; ++period) {
     std::vector<ShardLoad> loads(kShards);
     for (std::size_t s = 0; s < kShards; ++s)
       loads[s].load_percent_by_pool["a"] =
-          static_cast<int>(100 * taken[s] / cores[s]);
+          static_cast<int>(100 * assigned_cores[s] / cores[s]);
     for (int i = 0; i < 20; ++i) {
       const int shard =
           selector.Select(FourPools(), QueueOf("a"), JobOf(false), loads);
-      taken[static_cast<std::size_t>(shard)] += kJobCores;
+      assigned_cores[static_cast<std::size_t>(shard)] += kJobCores;
     }
   }
   std::vector<double> load;
   for (std::size_t s = 0; s < kShards; ++s)
-    load.push_back(taken[s] / cores[s]);
+    load.push_back(assigned_cores[s] / cores[s]);
   const auto [least, most] = std::minmax_element(load.begin(), load.end());
   // Round robin would load the small shard to 1.9, the others to 0.95.
   BOOST_TEST(*most - *least < 0.45);
@@ -263,7 +263,7 @@
   RC_ASSERT(at % kRenewalPeriod == base::Micros::zero());
 }
 
-BOOST_AUTO_TEST_CASE(ShardCountsOfOtherFormsAreNotTaken) {
+BOOST_AUTO_TEST_CASE(MalformedShardCountsAreRejected) {
   BOOST_TEST(DecodeShardCount("4").value_or(0) == 4);
   for (const char* text : {"", "0", "3", "128", "4x", "-2"})
     BOOST_TEST(!DecodeShardCount(text).has_value());
--- a/entry/suspension_test.cc
+++ b/entry/suspension_test.cc
@@ -45,7 +45,7 @@
 
 // The machine is suspended after an order was decided and before it is sent: on
 // a new connection, on a kept one, and after another order.
-BOOST_AUTO_TEST_CASE(OrderThatWasDecidedBeforeASuspensionDoesNotLeave) {
+BOOST_AUTO_TEST_CASE(OrderDecidedBeforeASuspensionIsNotSent) {
   const SuspendableClock clock;
   base::Loop loop;
   testing::RawServer server(loop, [](int) {
@@ -88,7 +88,7 @@
 
 // After a suspension the ownership must not count as valid, even before any
 // timer has fired, until it has been renewed in the store.
-BOOST_AUTO_TEST_CASE(OwnerThatWasSuspendedIsNotCertainUntilItHasAsked) {
+BOOST_AUTO_TEST_CASE(SuspendedOwnershipIsInvalidUntilRenewed) {
   const SuspendableClock clock;
   testing::StoreBench bench;
   int losses = 0;
@@ -98,15 +98,15 @@
                          .on_renewed = [](int, base::Micros) {},
                          .load = [](int) { return ShardLoad(); },
                          .on_store_answered = [] {}});
-  const auto is_certain = [&] {
+  const auto is_valid = [&] {
     return ownerships.At(0).holds() &&
            base::MonotonicNow() < ownerships.At(0).valid_until();
   };
-  BOOST_REQUIRE(bench.Within(seconds(10), is_certain));
+  BOOST_REQUIRE(bench.Within(seconds(10), is_valid));
   for (const seconds suspension : kSuspensions) {
     suspended += suspension;
-    BOOST_TEST(!is_certain());
-    BOOST_TEST(bench.Within(seconds(10), is_certain));
+    BOOST_TEST(!is_valid());
+    BOOST_TEST(bench.Within(seconds(10), is_valid));
   }
 }
 
