--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -57,7 +57,7 @@
     const jobs::Organisation* caller =
         this->config->FindOrganisation(organisation);
     const std::optional<int> home_shard =
-        caller ? HomeShard(*caller, spec, this->shards) : std::nullopt;
+        caller ? HomeShardFor(*caller, spec, this->shards) : std::nullopt;
     const int chosen = home_shard
                            ? *home_shard
                            : this->choose_shard(*this->config, queue, spec);
--- /dev/null
+++ b/entry/shard_selector.h
@@ -0,0 +1,56 @@
+// Selects the shard for a new job by the loads that the shards' owners last
+// reported and by where lasting tasks of the same pool run. Performs no I/O.
+
+#ifndef ENTRY_SHARD_SELECTOR_H_
+#define ENTRY_SHARD_SELECTOR_H_
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "jobs/job.h"
+#include "jobs/organisation.h"
+#include "jobs/queue.h"
+
+namespace quartzhoist::entry {
+
+// Load of a shard, reported by its owner with each renewal.
+struct ShardLoad {
+  // By pool: cores used and queued for, in percent of the cores that the shard
+  // can give to the pool.
+  std::map<std::string, int> load_percent_by_pool;
+  // Kinds of boxes in the shard.
+  std::vector<std::string> box_kinds;
+};
+
+// Returns the shard that takes all such jobs of an organisation if its quota is
+// too small to be divided among the shards; nothing if any shard may take them.
+std::optional<int> HomeShardFor(const jobs::Organisation& organisation,
+                                const jobs::JobSpec& job,
+                                int shards);
+
+class ShardSelector {
+ public:
+  explicit ShardSelector(std::uint64_t seed);
+
+  // Returns the number of the selected shard. `loads` has an entry for each
+  // shard and is not empty.
+  int Select(const jobs::Config& config,
+             const jobs::Queue& queue,
+             const jobs::JobSpec& job,
+             const std::vector<ShardLoad>& loads);
+
+ private:
+  int SelectByLoad(const std::string& pool,
+                   const std::vector<ShardLoad>& loads,
+                   const std::vector<int>& eligible);
+
+  std::mt19937_64 random;
+};
+
+}  // namespace quartzhoist::entry
+
+#endif  // ENTRY_SHARD_SELECTOR_H_
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -1,4 +1,5 @@
-// How the fleet is shared out among owners.
+// Tests of the partition into shards, the choice of a shard for a job, and the
+// shard count.
 
 #include <algorithm>
 #include <map>
@@ -9,8 +10,8 @@
 #include <rapidcheck/boost_test.h>
 #include <boost/test/unit_test.hpp>
 
-#include "entry/beats.h"
-#include "entry/shard_plan.h"
+#include "entry/renewal_schedule.h"
+#include "entry/shard_count_resolver.h"
 #include "entry/shards.h"
 #include "entry/tables.h"
 #include "testing/store_bench.h"
@@ -32,18 +33,18 @@
   return wave;
 }
 
-// A small quota in many shards: no share of it would hold a job.
+// A small quota divided among many shards leaves no share that fits a job.
 BOOST_AUTO_TEST_CASE(SmallQuotaIsNotScatteredOverShards) {
   jobs::JobSpec job;
   job.steps.resize(1);
   job.steps[0].tasks = 8;
   job.steps[0].each.cpu_millis = 1500;
   const auto home = [&job](std::int64_t cores, int shards) {
-    return HomeShard({.name = "bees",
-                      .keys = {},
-                      .jobs_a_second = 0,
-                      .quota = {.cpu_millis = cores * 1000}},
-                     job, shards);
+    return HomeShardFor({.name = "bees",
+                         .keys = {},
+                         .jobs_a_second = 0,
+                         .quota = {.cpu_millis = cores * 1000}},
+                        job, shards);
   };
   BOOST_TEST(home(60, 16).has_value());
   BOOST_CHECK(home(60, 16) == home(61, 16));
@@ -60,12 +61,12 @@
   BOOST_TEST(ShardCountFor(200, 200) == 1);
   BOOST_TEST(ShardCountFor(201, 200) == 2);
   BOOST_TEST(ShardCountFor(540, 200) == 4);
-  BOOST_TEST(ShardCountFor(1'000'000, 200) == kMostShards);
+  BOOST_TEST(ShardCountFor(1'000'000, 200) == kMaxShards);
 }
 
-// A job that is handed in again meets its own row, whichever shard either
-// daemon chose for it; and both rows go into one write.
-RC_BOOST_PROP(JobsRowsLieTogether, (const std::string& job)) {
+// A resubmitted job finds its own row, whichever shard was selected for it by
+// either daemon, and both of its rows fit into one write.
+RC_BOOST_PROP(RowsOfAJobShareAPart, (const std::string& job)) {
   const int count = 1 << *rc::gen::inRange(0, 7);
   const Shard shard{.number = *rc::gen::inRange(0, count), .count = count};
   const platform::RowKey row = JobRow(job, shard);
@@ -75,8 +76,8 @@
             JobParts().end());
 }
 
-// Whatever each shard has heard of the others' ends, together they never have
-// more away than the wave allows; and a wave never gets stuck.
+// Whichever completions of other shards each shard knows of, all shards
+// together never exceed the wave's limit, and the wave always progresses.
 RC_BOOST_PROP(SharesOfAWaveStayWithinItsLimit, ()) {
   const int count = 1 << *rc::gen::inRange(0, 5);
   const int most_at_once = *rc::gen::inRange(1, 40);
@@ -87,28 +88,29 @@
       done.insert(shard);
   }
   int away = 0;
-  int in_the_know = 0;
+  int informed = 0;
   bool has_open_boxes = false;
   std::size_t boxes = 0;
   for (int number = 0; number < count; ++number) {
     const Shard shard{.number = number, .count = count};
-    boxes += ShareOf(wave, shard, {}).boxes.size();
+    boxes += WaveShareFor(wave, shard, {}).boxes.size();
     if (done.contains(number))
       continue;
-    std::set<int> heard;
+    std::set<int> known_done;
     for (const int other : done) {
       if (*rc::gen::arbitrary<bool>())
-        heard.insert(other);
+        known_done.insert(other);
     }
-    const scheduler::Wave share = ShareOf(wave, shard, heard);
+    const scheduler::Wave share = WaveShareFor(wave, shard, known_done);
     away += share.boxes.empty() ? 0 : share.max_concurrent;
     has_open_boxes = has_open_boxes || !share.boxes.empty();
-    in_the_know +=
-        share.boxes.empty() ? 0 : ShareOf(wave, shard, done).max_concurrent;
+    informed += share.boxes.empty()
+                    ? 0
+                    : WaveShareFor(wave, shard, done).max_concurrent;
   }
   RC_ASSERT(away <= most_at_once);
   RC_ASSERT(boxes == wave.boxes.size());
-  RC_ASSERT(!has_open_boxes || in_the_know == most_at_once);
+  RC_ASSERT(!has_open_boxes || informed == most_at_once);
 }
 
 // --- Which shard takes a job ---
@@ -134,15 +136,15 @@
   return job;
 }
 
-// Four pools' lasting jobs, handed in by turns: each pool's stay together, and
-// no two pools' share a shard.
+// Lasting jobs of four pools, submitted in turn: those of one pool stay in one
+// shard, and no two pools use the same shard.
 BOOST_AUTO_TEST_CASE(LastingJobsOfAPoolShareAShard) {
-  ShardChoice choice(1);
+  ShardSelector selector(1);
   std::map<std::string, std::set<int>> homes;
   for (int i = 0; i < 40; ++i) {
     for (const char* pool : {"a", "b", "c", "d"})
-      homes[pool].insert(choice.Choose(FourPools(), QueueOf(pool), JobOf(true),
-                                       std::vector<ShardLoad>(4)));
+      homes[pool].insert(selector.Select(
+          FourPools(), QueueOf(pool), JobOf(true), std::vector<ShardLoad>(4)));
   }
   std::set<int> all;
   for (const auto& [pool, shards] : homes) {
@@ -152,67 +154,69 @@
   BOOST_TEST(all.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(LastingJobsLeaveAFullShardAlone) {
-  ShardChoice choice(1);
+BOOST_AUTO_TEST_CASE(LastingJobsAvoidAFullShard) {
+  ShardSelector selector(1);
   std::vector<ShardLoad> loads(4);
-  const int home = choice.Choose(FourPools(), QueueOf("a"), JobOf(true), loads);
+  const int home =
+      selector.Select(FourPools(), QueueOf("a"), JobOf(true), loads);
   for (ShardLoad& load : loads)
-    load.pools["a"] = 10;
+    load.load_percent_by_pool["a"] = 10;
   for (const int full : {150, 300, 1000}) {
-    loads[static_cast<std::size_t>(home)].pools["a"] = full;
+    loads[static_cast<std::size_t>(home)].load_percent_by_pool["a"] = full;
     for (int i = 0; i < 20; ++i)
-      BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), JobOf(true), loads) !=
-                 home);
+      BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), JobOf(true),
+                                 loads) != home);
   }
 }
 
 BOOST_AUTO_TEST_CASE(JobsGoWhereTheKindOfBoxIs) {
-  ShardChoice choice(1);
+  ShardSelector selector(1);
   std::vector<ShardLoad> loads(4);
   for (ShardLoad& load : loads)
-    load.kinds = {"common"};
-  loads[2].kinds.emplace_back("rare");
+    load.box_kinds = {"common"};
+  loads[2].box_kinds.emplace_back("rare");
   jobs::JobSpec job = JobOf(false);
   job.steps.front().label = "rare";
   jobs::JobSpec lasting = JobOf(true);
   lasting.steps.front().label = "rare";
   for (int i = 0; i < 20; ++i) {
-    BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), job, loads) == 2);
-    BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), lasting, loads) == 2);
+    BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), job, loads) == 2);
+    BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), lasting, loads) == 2);
   }
-  // One that nobody has may come: any shard will do.
+  // No shard has this kind of box: any shard is accepted.
   job.steps.front().label = "unheard of";
-  BOOST_TEST(choice.Choose(FourPools(), QueueOf("a"), job, loads) < 4);
+  BOOST_TEST(selector.Select(FourPools(), QueueOf("a"), job, loads) < 4);
 }
 
-// A pool's demand is at its height and one shard holds little of what it can
-// use: shards take new work by what they can carry, though the figures are half
-// a second old.
+// At peak demand of a pool of which one shard has fewer boxes, jobs are spread
+// in proportion to the shards' capacity, although the reported loads are half a
+// second old.
 BOOST_AUTO_TEST_CASE(JobsGoWhereThereIsRoom) {
   constexpr int kShards = 4;
   constexpr double kJobCores = 19.0;
   const std::vector<double> cores = {2000, 2000, 2000, 1000};
-  ShardChoice choice(7);
-  std::vector<double> taken(kShards);
-  for (int beat = 0; beat < 20; ++beat) {
+  ShardSelector selector(7);
+  std::vector<double> assigned_cores(kShards);
+  for (int period = 0; period < 20; ++period) {
     std::vector<ShardLoad> loads(kShards);
     for (std::size_t s = 0; s < kShards; ++s)
-      loads[s].pools["a"] = static_cast<int>(100 * taken[s] / cores[s]);
+      loads[s].load_percent_by_pool["a"] =
+          static_cast<int>(100 * assigned_cores[s] / cores[s]);
     for (int i = 0; i < 20; ++i) {
       const int shard =
-          choice.Choose(FourPools(), QueueOf("a"), JobOf(false), loads);
-      taken[static_cast<std::size_t>(shard)] += kJobCores;
+          selector.Select(FourPools(), QueueOf("a"), JobOf(false), loads);
+      assigned_cores[static_cast<std::size_t>(shard)] += kJobCores;
     }
   }
   std::vector<double> load;
   for (std::size_t s = 0; s < kShards; ++s)
-    load.push_back(taken[s] / cores[s]);
+    load.push_back(assigned_cores[s] / cores[s]);
   const auto [least, most] = std::minmax_element(load.begin(), load.end());
-  // By turns the small shard would stand at 1.9, the others at 0.95.
+  // Round robin would load the small shard to 1.9, the others to 0.95.
   BOOST_TEST(*most - *least < 0.45);
 }
 
-// Two daemons that would settle on different counts, and come at the same time.
+// Two daemons that would write different counts start at the same time.
 BOOST_AUTO_TEST_CASE(DaemonsThatCountAtOnceAgree) {
   StoreBench bench;
   for (int i = 0; i < 8; ++i)
@@ -220,48 +224,48 @@
                       "{}");
   int first = 0;
   int second = 0;
-  ShardPlan one(bench.loop, bench.store, 0.5, 2, 1,
-                [&](int count) { first = count; });
-  ShardPlan other(bench.loop, bench.store, 0.5, 8, 1,
-                  [&](int count) { second = count; });
+  ShardCountResolver one(bench.loop, bench.store, 0.5, 2, 1,
+                         [&](int count) { first = count; });
+  ShardCountResolver other(bench.loop, bench.store, 0.5, 8, 1,
+                           [&](int count) { second = count; });
   bench.Until([&] { return first > 0 && second > 0; });
   BOOST_TEST(first == second);
 }
 
 BOOST_AUTO_TEST_CASE(ShardCountIsSettledOnceAndFoundByAll) {
   StoreBench bench;
-  constexpr std::size_t kWorkersAnOwner = 3;
+  constexpr std::size_t kWorkersPerOwner = 3;
   for (int i = 0; i < 5; ++i)
     bench.standin.Put({.table = "servers", .part = "", .key = BoxName(i)},
                       "{}");
   int first = 0;
   int second = 0;
-  ShardPlan one(bench.loop, bench.store, 0.5, kWorkersAnOwner, 1,
-                [&](int count) { first = count; });
+  ShardCountResolver one(bench.loop, bench.store, 0.5, kWorkersPerOwner, 1,
+                         [&](int count) { first = count; });
   bench.Until([&] { return first > 0; });
   BOOST_TEST(first == 2);
-  // The fleet has grown since; the count stays.
+  // The fleet grows; the count stays.
   for (int i = 5; i < 50; ++i)
     bench.standin.Put({.table = "servers", .part = "", .key = BoxName(i)},
                       "{}");
-  ShardPlan other(bench.loop, bench.store, 0.5, kWorkersAnOwner, 2,
-                  [&](int count) { second = count; });
+  ShardCountResolver other(bench.loop, bench.store, 0.5, kWorkersPerOwner, 2,
+                           [&](int count) { second = count; });
   bench.Until([&] { return second > 0; });
   BOOST_TEST(second == first);
 }
 
-RC_BOOST_PROP(BeatsAreTheSameMomentsForAll, ()) {
+RC_BOOST_PROP(RenewalTimesAreTheSameForAllHolders, ()) {
   const std::int64_t now_ms = *rc::gen::inRange(0, 1'000'000);
   const base::Micros least =
       std::chrono::milliseconds(*rc::gen::inRange(0, 400));
-  const base::Micros wait = UntilBeat(now_ms, least);
+  const base::Micros wait = TimeUntilRenewal(now_ms, least);
   RC_ASSERT(wait >= least);
-  RC_ASSERT(wait < least + kBeat);
+  RC_ASSERT(wait < least + kRenewalPeriod);
   const base::Micros at = std::chrono::milliseconds(now_ms) + wait;
-  RC_ASSERT(at % kBeat == base::Micros::zero());
+  RC_ASSERT(at % kRenewalPeriod == base::Micros::zero());
 }
 
-BOOST_AUTO_TEST_CASE(ShardCountsOfOtherFormsAreNotTaken) {
+BOOST_AUTO_TEST_CASE(MalformedShardCountsAreRejected) {
   BOOST_TEST(DecodeShardCount("4").value_or(0) == 4);
   for (const char* text : {"", "0", "3", "128", "4x", "-2"})
     BOOST_TEST(!DecodeShardCount(text).has_value());
