--- a/entry/box_calls.cc
+++ b/entry/box_calls.cc
@@ -30,7 +30,7 @@
                    std::uint64_t own_epoch,
                    Events handlers)
     : store(on),
-      row(SmallRow(kBoxTable, kBoxKey, shard)),
+      row(ShardRowKey(kBoxCallTable, kBoxCallKey, shard)),
       epoch(own_epoch),
       events(std::move(handlers)),
       alive(std::make_shared<bool>(true)) {}
--- a/entry/box_calls_test.cc
+++ b/entry/box_calls_test.cc
@@ -106,7 +106,7 @@
   first.calls.Ask(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
   BOOST_REQUIRE(first.Records(1));
   first.is_open = false;
-  const platform::RowKey row = SmallRow(kBoxTable, kBoxKey, {});
+  const platform::RowKey row = ShardRowKey(kBoxCallTable, kBoxCallKey, {});
   BOOST_TEST(first.ActUntil([&] {
     const auto record = DecodeBoxCalls(bench.standin.Value(row));
     return record && record->calls.empty();
@@ -142,7 +142,8 @@
 // A row that cannot be read is written anew, and claimed.
 BOOST_AUTO_TEST_CASE(RowThatCannotBeReadIsClaimed) {
   StoreBench bench;
-  bench.standin.Put(SmallRow(kBoxTable, kBoxKey, {}), "{\"epoch\":[]");
+  bench.standin.Put(ShardRowKey(kBoxCallTable, kBoxCallKey, {}),
+                    "{\"epoch\":[]");
   Owner owner(bench, 4);
   BOOST_TEST(owner.Claims());
   BOOST_TEST(owner.inherited.empty());
--- a/entry/caller_api.cc
+++ b/entry/caller_api.cc
@@ -213,7 +213,7 @@
 void CallerApi::ReadProgress(
     const http::ExchangePtr& exchange,
     const std::string& job,
-    std::function<void(const KeptProgress& kept)> found) {
+    std::function<void(const ProgressRecord& kept)> found) {
   const platform::RowKey at = ProgressRow(job);
   const platform::ReadQuery query{
       .table = at.table, .part = at.part, .from = job, .to = {}, .limit = 1};
@@ -227,7 +227,7 @@
       this->Refuse(exchange, kNoJob, job, "there is no such job");
       return;
     }
-    const auto kept = DecodeKept(result->rows.front().value);
+    const auto kept = DecodeProgressRecord(result->rows.front().value);
     if (!kept) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
       this->Refuse(exchange, kUnavailable, job, "its state cannot be read");
@@ -240,7 +240,7 @@
 void CallerApi::AnswerState(const http::ExchangePtr& exchange,
                             const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& kept) {
+      exchange, job, [this, exchange, job](const ProgressRecord& kept) {
         const auto progress = jobs::DecodeProgress(kept.text);
         if (!progress) {
           base::Log(base::Event::kRowMalformed, {{"row", job}});
@@ -255,7 +255,7 @@
 void CallerApi::Cancel(const http::ExchangePtr& exchange,
                        const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& kept) {
+      exchange, job, [this, exchange, job](const ProgressRecord& kept) {
         const Shard shard{.number = kept.shard, .count = this->shards};
         this->WriteCancel({.exchange = exchange,
                            .job = job,
@@ -295,7 +295,7 @@
 void CallerApi::AnswerCount(const http::ExchangePtr& exchange,
                             const std::string& queue) {
   platform::ReadTable(
-      this->store, std::string(kCountTable), {CountRow({}).part},
+      this->store, std::string(kQueueLengthTable), {QueueLengthRow({}).part},
       [this, exchange,
        queue](const std::optional<platform::TableContent>& content) {
         if (!content) {
@@ -305,7 +305,7 @@
         // A queue that is new has no count yet.
         std::int64_t count = 0;
         for (const platform::Row& row : content->rows)
-          count += CountOf(row.value, queue);
+          count += QueueLengthOf(row.value, queue);
         this->Reply(exchange,
                     http::JsonResponse(kOk, platform::CountBody(count)));
       });
--- a/entry/caller_api.h
+++ b/entry/caller_api.h
@@ -94,7 +94,7 @@
   void WriteAgain();
   void ReadProgress(const http::ExchangePtr& exchange,
                     const std::string& job,
-                    std::function<void(const KeptProgress& kept)> found);
+                    std::function<void(const ProgressRecord& kept)> found);
   void AnswerState(const http::ExchangePtr& exchange, const std::string& job);
   void Cancel(const http::ExchangePtr& exchange, const std::string& job);
   void WriteCancel(const Cancellation& cancel);
--- a/entry/caller_api_test.cc
+++ b/entry/caller_api_test.cc
@@ -233,8 +233,9 @@
   CallerBench bench;
   jobs::Progress progress;
   progress.state = jobs::JobState::kCompleted;
-  bench.standin.Put(ProgressRow(kId),
-                    EncodeKept({.text = jobs::EncodeProgress(progress)}));
+  bench.standin.Put(
+      ProgressRow(kId),
+      EncodeProgressRecord({.text = jobs::EncodeProgress(progress)}));
   BOOST_TEST(bench.Call("POST", kJob, kBody).status == 200);
   BOOST_TEST(bench.standin.Value(JobRow(kId, {})).empty());
   BOOST_TEST(bench.Call("GET", kJob).body == R"({"state":"completed"})");
@@ -378,7 +379,7 @@
 BOOST_AUTO_TEST_CASE(CountsComeFromTheStore) {
   CallerBench bench;
   BOOST_TEST(bench.Call("GET", "/p/").body == R"({"pending":0})");
-  bench.standin.Put(CountRow({}), EncodeCounts({{"q", 12}}));
+  bench.standin.Put(QueueLengthRow({}), EncodeQueueLengths({{"q", 12}}));
   BOOST_TEST(bench.Call("GET", "/p/").body == R"({"pending":12})");
 }
 
--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -111,9 +111,9 @@
     write.conditions.push_back({.at = ProgressRow(next.job), .version = 0});
     write.puts.push_back(
         {.at = JobRow(next.job, next.shard), .value = next.row});
-    write.puts.push_back(
-        {.at = ProgressRow(next.job),
-         .value = EncodeKept({.shard = next.shard.number, .text = queued})});
+    write.puts.push_back({.at = ProgressRow(next.job),
+                          .value = EncodeProgressRecord(
+                              {.shard = next.shard.number, .text = queued})});
     batch.push_back(std::move(next));
     if (alone)
       break;
--- a/entry/entry_test.cc
+++ b/entry/entry_test.cc
@@ -119,17 +119,17 @@
   BOOST_TEST(!DecodeAccepted("{}").has_value());
   BOOST_TEST(!DecodeOwner("[]").has_value());
   BOOST_TEST(!DecodeLeases("7").has_value());
-  const std::string kept = EncodeKept({.shard = 3, .text = "{}"});
-  BOOST_REQUIRE(DecodeKept(kept).has_value());
-  BOOST_TEST(DecodeKept(kept)->shard == 3);
-  BOOST_TEST(DecodeKept(kept)->text == "{}");
+  const std::string kept = EncodeProgressRecord({.shard = 3, .text = "{}"});
+  BOOST_REQUIRE(DecodeProgressRecord(kept).has_value());
+  BOOST_TEST(DecodeProgressRecord(kept)->shard == 3);
+  BOOST_TEST(DecodeProgressRecord(kept)->text == "{}");
   for (const char* text : {"", "{}", "3", "-1 {}", "x {}"})
-    BOOST_TEST(!DecodeKept(std::string_view(text)).has_value());
+    BOOST_TEST(!DecodeProgressRecord(std::string_view(text)).has_value());
   BOOST_TEST(ParseJobKey(CancelRow("abc", {}).key).is_cancel);
   BOOST_TEST(ParseJobKey(CancelRow("abc", {}).key).job == "abc");
   BOOST_TEST(!ParseJobKey(JobRow("abc", {}).key).is_cancel);
-  BOOST_TEST(CountOf(EncodeCounts({{"q", 7}}), "q") == 7);
-  BOOST_TEST(CountOf("nonsense", "q") == 0);
+  BOOST_TEST(QueueLengthOf(EncodeQueueLengths({{"q", 7}}), "q") == 7);
+  BOOST_TEST(QueueLengthOf("nonsense", "q") == 0);
 }
 
 }  // namespace
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -286,8 +286,8 @@
       manager.SendLook(order);
     }
     void operator()(scheduler::SaveProgress& save) const {
-      save.text =
-          EncodeKept({.shard = manager.shard.number, .text = save.text});
+      save.text = EncodeProgressRecord(
+          {.shard = manager.shard.number, .text = save.text});
       manager.saves.Add(std::move(save));
     }
     void operator()(const scheduler::LoadJob& read) const {
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -144,7 +144,7 @@
     this->scheduler.WorkersRecorded(names.held);
     return;
   }
-  const platform::RowKey row = SmallRow(kLeaseTable, kLeaseKey, this->shard);
+  const platform::RowKey row = ShardRowKey(kLeaseTable, kLeaseKey, this->shard);
   const platform::WriteBatch write{
       .conditions = {{.at = row, .version = this->lease_version}},
       .puts = {{.at = row, .value = EncodeLeases(record)}},
@@ -167,7 +167,7 @@
     record.workers.push_back(
         {.worker = worker.info,
          .held = worker.has_listing,
-         .until_store_ms = this->store.StoreMillis(worker.latest_lease_end)});
+         .expires_store_ms = this->store.StoreMillis(worker.latest_lease_end)});
   }
   return record;
 }
@@ -224,10 +224,10 @@
   const std::map<std::string, int> counts = this->scheduler.WaitingJobs();
   if (counts == this->counted)
     return;
-  const platform::RowKey row = CountRow(this->shard);
+  const platform::RowKey row = QueueLengthRow(this->shard);
   const platform::WriteBatch write{
       .conditions = {{.at = row, .version = this->count_version}},
-      .puts = {{.at = row, .value = EncodeCounts(counts)}},
+      .puts = {{.at = row, .value = EncodeQueueLengths(counts)}},
       .removes = {}};
   this->store.Write(write, [this, counts, lives = this->alive](
                                const platform::WriteResult& result) {
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -25,7 +25,7 @@
 constexpr base::Micros kStoreClockSlack = milliseconds(1000);
 
 std::optional<jobs::Progress> ProgressOf(const platform::Row& row) {
-  const auto kept = DecodeKept(row.value);
+  const auto kept = DecodeProgressRecord(row.value);
   return kept ? jobs::DecodeProgress(kept->text) : std::nullopt;
 }
 
@@ -126,8 +126,8 @@
   // the same time, a placement could show whose worker the list lacks, and
   // that would pass for a worker without a lease.
   if (this->kept_progress)
-    read(kLeaseTable, {SmallPart(kLeaseTable, this->shard)}, this->kept_leases);
-  read(kWaveTable, SmallParts(kWaveTable, this->shard.count), this->kept_waves);
+    read(kLeaseTable, {ShardPart(kLeaseTable, this->shard)}, this->kept_leases);
+  read(kWaveTable, ShardParts(kWaveTable, this->shard.count), this->kept_waves);
   this->timer.StartOnce(kReadAgain);
 }
 
@@ -221,10 +221,10 @@
       this->earlier_confirmed + WithClockSlack(this->GrantBound());
   for (const LeaseHolder& holder : record->workers) {
     const base::Micros carried =
-        this->store.LocalTime(holder.until_store_ms) + kStoreClockSlack;
+        this->store.LocalTime(holder.expires_store_ms) + kStoreClockSlack;
     // A time that was not known is no bound.
-    const bool is_bounded =
-        !holder.held && holder.until_store_ms > 0 && this->store.knows_clock();
+    const bool is_bounded = !holder.held && holder.expires_store_ms > 0 &&
+                            this->store.knows_clock();
     this->scheduler.InheritWorker(
         holder.worker, is_bounded ? std::min(latest, carried) : latest);
   }
--- a/entry/ownerships.cc
+++ b/entry/ownerships.cc
@@ -45,7 +45,7 @@
       follower(loop,
                store,
                std::string(kOwnerTable),
-               SmallParts(kOwnerTable, shards),
+               ShardParts(kOwnerTable, shards),
                this->Feed(),
                PaceFor(store, shards)) {
   for (int shard = 0; shard < shards; ++shard) {
--- a/entry/quota_records.cc
+++ b/entry/quota_records.cc
@@ -119,7 +119,7 @@
 }
 
 void QuotaRecords::Write(const QuotaShares::Write& wanted) {
-  const platform::RowKey row = QuotaRowOf(wanted.organisation);
+  const platform::RowKey row = OrganisationQuotaRow(wanted.organisation);
   const platform::WriteBatch write{
       .conditions = {{.at = QuotaOwnerRow(this->shard),
                       .version = this->claimed_at},
--- a/entry/save_result.cc
+++ b/entry/save_result.cc
@@ -12,7 +12,7 @@
 // row again: ends that an earlier owner has saved, and let its workers forget,
 // stand nowhere else. Nothing if the row is gone or cannot be read.
 std::optional<jobs::Progress> StoredProgress(const platform::Row& there) {
-  const std::optional<KeptProgress> kept = DecodeKept(there.value);
+  const std::optional<ProgressRecord> kept = DecodeProgressRecord(there.value);
   std::optional<jobs::Progress> stored;
   if (kept)
     stored = jobs::DecodeProgress(kept->text);
--- a/entry/save_result_test.cc
+++ b/entry/save_result_test.cc
@@ -28,7 +28,7 @@
 
 scheduler::SaveProgress Save() {
   return {.job = kJob,
-          .text = EncodeKept({.text = jobs::EncodeProgress({})}),
+          .text = EncodeProgressRecord({.text = jobs::EncodeProgress({})}),
           .version = 7,
           .change = 4,
           .is_over = false};
@@ -41,7 +41,7 @@
 // the next one, which had read the row before, must hear of it.
 BOOST_AUTO_TEST_CASE(ConflictTellsWhatAnotherOwnerRecorded) {
   const platform::Row there =
-      RowOf(EncodeKept({.text = jobs::EncodeProgress(OneDone())}));
+      RowOf(EncodeProgressRecord({.text = jobs::EncodeProgress(OneDone())}));
   const scheduler::SaveResult result = SaveResultOf(Save(), kConflict, &there);
   BOOST_CHECK(result.outcome == scheduler::SaveOutcome::kConflict);
   BOOST_TEST(result.version == 12U);
--- a/entry/shard_plan.cc
+++ b/entry/shard_plan.cc
@@ -48,7 +48,7 @@
 
 void ShardPlan::Read() {
   platform::ReadTable(
-      this->store, std::string(kShardTable), {ShardRow().part},
+      this->store, std::string(kShardCountTable), {ShardCountRow().part},
       [this, lives = this->alive](
           const std::optional<platform::TableContent>& content) {
         if (*lives)
@@ -63,7 +63,7 @@
     return;
   for (const platform::Row& row : content->rows) {
     const std::optional<int> count = DecodeShardCount(row.value);
-    if (row.at == ShardRow() && count) {
+    if (row.at == ShardCountRow() && count) {
       this->Known(*count);
       return;
     }
@@ -103,8 +103,8 @@
 // Whoever comes second finds the first one's row.
 void ShardPlan::Write(int count) {
   const platform::WriteBatch batch{
-      .conditions = {{.at = ShardRow(), .version = 0}},
-      .puts = {{.at = ShardRow(), .value = EncodeShardCount(count)}},
+      .conditions = {{.at = ShardCountRow(), .version = 0}},
+      .puts = {{.at = ShardCountRow(), .value = EncodeShardCount(count)}},
       .removes = {}};
   this->store.Write(batch, [this, count, lives = this->alive](
                                const platform::WriteResult& result) {
--- a/entry/tables.cc
+++ b/entry/tables.cc
@@ -14,54 +14,54 @@
 
 // Writes of one part are made in turn, some 300 a second on the sites, 4 a
 // second in a slow store.
-constexpr std::size_t kParts = 64;
+constexpr std::size_t kPartCount = 64;
 constexpr std::string_view kCancelSuffix = "!cancel";
 constexpr std::string_view kQuotaPrefix = "of/";
 
 std::string PartOf(const std::string& job) {
-  return std::to_string(XXH32(job.data(), job.size(), 0) % kParts);
+  return std::to_string(XXH32(job.data(), job.size(), 0) % kPartCount);
 }
 
 }  // namespace
 
-std::string SmallPart(std::string_view table, const Shard& shard) {
+std::string ShardPart(std::string_view table, const Shard& shard) {
   return shard.count == 1 ? std::string(table)
                           : fmt::format("{}-{}", table, shard.number);
 }
 
-platform::RowKey SmallRow(std::string_view table,
-                          std::string_view key,
-                          const Shard& shard) {
+platform::RowKey ShardRowKey(std::string_view table,
+                             std::string_view key,
+                             const Shard& shard) {
   return {.table = std::string(table),
-          .part = SmallPart(table, shard),
+          .part = ShardPart(table, shard),
           .key = std::string(key)};
 }
 
-std::vector<std::string> SmallParts(std::string_view table, int shards) {
+std::vector<std::string> ShardParts(std::string_view table, int shards) {
   std::vector<std::string> parts;
   for (int i = 0; i < shards; ++i)
-    parts.push_back(SmallPart(table, {.number = i, .count = shards}));
+    parts.push_back(ShardPart(table, {.number = i, .count = shards}));
   return parts;
 }
 
 platform::RowKey OwnerRow(const Shard& shard) {
-  return SmallRow(kOwnerTable, kOwnerKey, shard);
+  return ShardRowKey(kOwnerTable, kOwnerKey, shard);
 }
 
-platform::RowKey ShardRow() {
-  return SmallRow(kShardTable, kShardKey, {});
+platform::RowKey ShardCountRow() {
+  return ShardRowKey(kShardCountTable, kShardCountKey, {});
 }
 
-platform::RowKey CountRow(const Shard& shard) {
-  return SmallRow(kCountTable, std::to_string(shard.number), {});
+platform::RowKey QueueLengthRow(const Shard& shard) {
+  return ShardRowKey(kQueueLengthTable, std::to_string(shard.number), {});
 }
 
-platform::RowKey QuotaRowOf(const std::string& organisation) {
-  return SmallRow(kQuotaTable, std::string(kQuotaPrefix) + organisation, {});
+platform::RowKey OrganisationQuotaRow(const std::string& organisation) {
+  return ShardRowKey(kQuotaTable, std::string(kQuotaPrefix) + organisation, {});
 }
 
 platform::RowKey QuotaOwnerRow(const Shard& shard) {
-  return SmallRow(kQuotaTable, fmt::format("owner/{}", shard.number), {});
+  return ShardRowKey(kQuotaTable, fmt::format("owner/{}", shard.number), {});
 }
 
 std::optional<std::string> ParseQuotaKey(std::string_view key) {
@@ -73,7 +73,7 @@
 const std::vector<std::string>& JobParts() {
   static const std::vector<std::string> kAll = [] {
     std::vector<std::string> parts;
-    for (std::size_t i = 0; i < kParts; ++i)
+    for (std::size_t i = 0; i < kPartCount; ++i)
       parts.push_back(std::to_string(i));
     return parts;
   }();
@@ -81,7 +81,7 @@
 }
 
 std::string JobTable(const Shard& shard) {
-  return SmallPart(kJobTable, shard);
+  return ShardPart(kJobTable, shard);
 }
 
 platform::RowKey JobRow(const std::string& job, const Shard& shard) {
@@ -139,18 +139,18 @@
   }
 }
 
-std::string EncodeKept(const KeptProgress& kept) {
-  return fmt::format("{} {}", kept.shard, kept.text);
+std::string EncodeProgressRecord(const ProgressRecord& record) {
+  return fmt::format("{} {}", record.shard, record.text);
 }
 
-std::optional<KeptProgress> DecodeKept(std::string_view row) {
-  KeptProgress kept;
+std::optional<ProgressRecord> DecodeProgressRecord(std::string_view row) {
+  ProgressRecord record;
   const char* const end = row.data() + row.size();
-  const auto [rest, error] = std::from_chars(row.data(), end, kept.shard);
-  if (error != std::errc() || rest == end || *rest != ' ' || kept.shard < 0)
+  const auto [rest, error] = std::from_chars(row.data(), end, record.shard);
+  if (error != std::errc() || rest == end || *rest != ' ' || record.shard < 0)
     return std::nullopt;
-  kept.text = row.substr(static_cast<std::size_t>(rest - row.data()) + 1);
-  return kept;
+  record.text = row.substr(static_cast<std::size_t>(rest - row.data()) + 1);
+  return record;
 }
 
 std::string EncodeOwner(const OwnerRecord& record) {
@@ -183,7 +183,7 @@
   for (const LeaseHolder& holder : record.workers) {
     const scheduler::WorkerInfo& worker = holder.worker;
     list.push_back({worker.life.id, worker.address, worker.box, worker.service,
-                    holder.held, holder.until_store_ms, worker.life.born_ms});
+                    holder.held, holder.expires_store_ms, worker.life.born_ms});
   }
   return Json{{"epoch", record.epoch}, {"workers", std::move(list)}}.dump();
 }
@@ -200,7 +200,7 @@
       holder.worker.box = row.at(2).get<std::string>();
       holder.worker.service = row.at(3).get<std::string>();
       holder.held = row.at(4).get<bool>();
-      holder.until_store_ms = row.at(5).get<std::int64_t>();
+      holder.expires_store_ms = row.at(5).get<std::int64_t>();
       // Earlier rows have no start.
       if (row.size() > 6)
         holder.worker.life.born_ms = row.at(6).get<std::int64_t>();
@@ -220,11 +220,11 @@
               {"born", move.life.born_ms},
               {"pool", move.pool}};
     }
-    Json operator()(const scheduler::MaintainBox& upkeep) const {
-      return {{"box", upkeep.box},
-              {"life", upkeep.life.id},
-              {"born", upkeep.life.born_ms},
-              {"wave", upkeep.wave}};
+    Json operator()(const scheduler::MaintainBox& maintenance) const {
+      return {{"box", maintenance.box},
+              {"life", maintenance.life.id},
+              {"born", maintenance.life.born_ms},
+              {"wave", maintenance.wave}};
     }
   };
   Json list = Json::array();
@@ -267,8 +267,9 @@
   int count = 0;
   const char* const end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, count);
-  const bool is_power = count > 0 && (count & (count - 1)) == 0;
-  if (error != std::errc() || rest != end || !is_power || count > kMostShards)
+  const bool is_power_of_two = count > 0 && (count & (count - 1)) == 0;
+  if (error != std::errc() || rest != end || !is_power_of_two ||
+      count > kMostShards)
     return std::nullopt;
   return count;
 }
@@ -289,11 +290,11 @@
   return names;
 }
 
-std::string EncodeCounts(const std::map<std::string, int>& counts) {
+std::string EncodeQueueLengths(const std::map<std::string, int>& counts) {
   return Json(counts).dump();
 }
 
-std::int64_t CountOf(std::string_view text, const std::string& queue) {
+std::int64_t QueueLengthOf(std::string_view text, const std::string& queue) {
   const Json counts = Json::parse(text, nullptr, false);
   return counts.is_object() ? counts.value(queue, std::int64_t{0}) : 0;
 }
--- a/entry/tables.h
+++ b/entry/tables.h
@@ -21,8 +21,8 @@
 namespace quartzhoist::entry {
 
 // In how many shards the fleet is scheduled; written once.
-inline constexpr std::string_view kShardTable = "shards";
-inline constexpr std::string_view kShardKey = "count";
+inline constexpr std::string_view kShardCountTable = "shards";
+inline constexpr std::string_view kShardCountKey = "count";
 // Accepted jobs, never rewritten, and beside them their cancels. Each shard
 // has a table of its own, since a feed brings a whole table.
 inline constexpr std::string_view kJobTable = "jobs";
@@ -37,13 +37,13 @@
 inline constexpr std::string_view kLeaseKey = "workers";
 // How many jobs of each queue wait: a row for each shard, in one part, since
 // callers ask for them together.
-inline constexpr std::string_view kCountTable = "counts";
+inline constexpr std::string_view kQueueLengthTable = "counts";
 // Boxes of each wave whose upkeep has begun, and the shards that are done.
 inline constexpr std::string_view kWaveTable = "waves";
 
 // What the shard's owner is about to ask of boxes: recorded before each call.
-inline constexpr std::string_view kBoxTable = "boxes";
-inline constexpr std::string_view kBoxKey = "calls";
+inline constexpr std::string_view kBoxCallTable = "boxes";
+inline constexpr std::string_view kBoxCallKey = "calls";
 // How the shards share each organisation's quota: a row for each that is not
 // shared equally, and one for each shard that its owner writes when it takes
 // over. All in one part, since a write has conditions on both.
@@ -51,17 +51,17 @@
 
 // A row of a small table of the daemons' own. Each shard's rows lie in a part
 // of their own, since calls to one part are carried out in turn.
-platform::RowKey SmallRow(std::string_view table,
-                          std::string_view key,
-                          const Shard& shard);
+platform::RowKey ShardRowKey(std::string_view table,
+                             std::string_view key,
+                             const Shard& shard);
 // The part of such a table that holds the shard's rows.
-std::string SmallPart(std::string_view table, const Shard& shard);
+std::string ShardPart(std::string_view table, const Shard& shard);
 // The parts of all shards.
-std::vector<std::string> SmallParts(std::string_view table, int shards);
+std::vector<std::string> ShardParts(std::string_view table, int shards);
 platform::RowKey OwnerRow(const Shard& shard);
-platform::RowKey ShardRow();
-platform::RowKey CountRow(const Shard& shard);
-platform::RowKey QuotaRowOf(const std::string& organisation);
+platform::RowKey ShardCountRow();
+platform::RowKey QueueLengthRow(const Shard& shard);
+platform::RowKey OrganisationQuotaRow(const std::string& organisation);
 // Written by each new owner of the shard: the writes of an earlier one that are
 // still on their way do not fit any more.
 platform::RowKey QuotaOwnerRow(const Shard& shard);
@@ -93,14 +93,14 @@
 std::optional<AcceptedJob> DecodeAccepted(std::string_view text);
 
 // A job's progress as its row holds it, with the number of its shard.
-struct KeptProgress {
+struct ProgressRecord {
   int shard = 0;
   std::string_view text;  // see jobs::DecodeProgress
 };
-std::string EncodeKept(const KeptProgress& kept);
+std::string EncodeProgressRecord(const ProgressRecord& record);
 // Refers to `row`, which must outlive it; nothing if that is not of this form.
-std::optional<KeptProgress> DecodeKept(std::string_view row);
-std::optional<KeptProgress> DecodeKept(std::string&& row) = delete;
+std::optional<ProgressRecord> DecodeProgressRecord(std::string_view row);
+std::optional<ProgressRecord> DecodeProgressRecord(std::string&& row) = delete;
 
 struct OwnerRecord {
   std::string holder;       // a daemon; empty: given up
@@ -121,7 +121,7 @@
 struct LeaseHolder {
   scheduler::WorkerInfo worker;  // life, address, box and service
   bool held = true;
-  std::int64_t until_store_ms = 0;  // on the store's clock, if not held
+  std::int64_t expires_store_ms = 0;  // on the store's clock, if not held
 };
 struct LeaseRecord {
   std::uint64_t epoch = 0;
@@ -147,9 +147,9 @@
 std::vector<std::string> DecodeNames(std::string_view text);
 
 // Waiting jobs by queue.
-std::string EncodeCounts(const std::map<std::string, int>& counts);
+std::string EncodeQueueLengths(const std::map<std::string, int>& counts);
 // 0 for a queue that the text does not name.
-std::int64_t CountOf(std::string_view text, const std::string& queue);
+std::int64_t QueueLengthOf(std::string_view text, const std::string& queue);
 
 }  // namespace quartzhoist::entry
 
--- a/entry/wave_records.cc
+++ b/entry/wave_records.cc
@@ -78,7 +78,7 @@
   Record& record = this->records[key.wave];
   for (int number = 0; number < this->shard.count; ++number) {
     const Shard holder{.number = number, .count = this->shard.count};
-    if (row.at.part != SmallPart(kWaveTable, holder))
+    if (row.at.part != ShardPart(kWaveTable, holder))
       continue;
     if (key.is_done)
       record.done.insert(number);
@@ -107,8 +107,8 @@
 void WaveRecords::WriteBegun(const scheduler::ReportWave& report) const {
   const platform::WriteBatch write{
       .conditions = {},
-      .puts = {{.at = SmallRow(kWaveTable, std::to_string(report.wave),
-                               this->shard),
+      .puts = {{.at = ShardRowKey(kWaveTable, std::to_string(report.wave),
+                                  this->shard),
                 .value = EncodeNames(report.begun)}},
       .removes = {}};
   this->store.Write(write, [](const platform::WriteResult&) {});
@@ -118,7 +118,8 @@
 void WaveRecords::WriteDone(const scheduler::ReportWave& report) {
   const platform::WriteBatch write{
       .conditions = {},
-      .puts = {{.at = SmallRow(kWaveTable, DoneKey(report.wave), this->shard),
+      .puts = {{.at =
+                    ShardRowKey(kWaveTable, DoneKey(report.wave), this->shard),
                 .value = "1"}},
       .removes = {}};
   this->store.Write(write, [this, report, lives = this->alive](
@@ -214,7 +215,7 @@
   this->reading = true;
   platform::ReadTable(
       this->store, std::string(kWaveTable),
-      SmallParts(kWaveTable, this->shard.count),
+      ShardParts(kWaveTable, this->shard.count),
       [this, lives = this->alive](
           const std::optional<platform::TableContent>& content) {
         if (!*lives)
--- a/testing/scheduler_model_store.cc
+++ b/testing/scheduler_model_store.cc
@@ -58,7 +58,7 @@
                           const scheduler::SaveProgress& save) {
   const scheduler::SaveProgress kept{
       .job = save.job,
-      .text = entry::EncodeKept({.text = save.text}),
+      .text = entry::EncodeProgressRecord({.text = save.text}),
       .version = save.version,
       .change = save.change,
       .is_over = save.is_over};
@@ -93,7 +93,7 @@
     const StoredJob& stored = this->jobs.at(kept.job);
     const platform::Row there{
         .at = entry::ProgressRow(kept.job),
-        .value = entry::EncodeKept({.text = stored.progress}),
+        .value = entry::EncodeProgressRecord({.text = stored.progress}),
         .version = stored.version};
     const platform::WriteResult outcome{
         .outcome = written ? platform::WriteOutcome::kDone
