--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -33,8 +33,9 @@
 // lasts longer than this after a confirmation.
 base::Micros GrantBoundOf(const Settings& settings) {
   if (settings.deployment.epochs_checked)
-    return kGrantBound;
-  return std::min(kGrantBound, kOwnerSilence + settings.longest_lease);
+    return kMaxLeaseAfterConfirmation;
+  return std::min(kMaxLeaseAfterConfirmation,
+                  kOwnerSilence + settings.longest_lease);
 }
 
 // In doubt an owner that stops itself grants the longest lease there is; any
@@ -52,8 +53,8 @@
   limits.shards = shard.count;
   limits.lease_duration = std::min(kLease, settings.longest_lease);
   limits.max_lease_after_confirmation = GrantBoundOf(settings);
-  limits.max_grant = WithClockSlack(LongestGrantOf(settings));
-  limits.max_lease = WithClockSlack(settings.longest_lease);
+  limits.max_grant = WithClockDrift(LongestGrantOf(settings));
+  limits.max_lease = WithClockDrift(settings.longest_lease);
   limits.max_stop_time = settings.stop_time;
   limits.epoch = epoch;
   limits.fleet = {.move_duration = settings.move_time,
@@ -215,8 +216,8 @@
   this->act_is_due = true;
   const base::Micros now = base::MonotonicNow();
   const base::Micros gap =
-      std::min(this->turn_time * kTurnGapTimes, kLongestTurnGap);
-  this->soon.StartOnce(std::max(kSoon, this->last_turn + gap - now));
+      std::min(this->turn_time * kPassGapFactor, kMaxPassGap);
+  this->soon.StartOnce(std::max(kBatchDelay, this->last_turn + gap - now));
 }
 
 void Manager::CarryAll() {
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -150,7 +150,7 @@
              {"epoch", this->epoch},
              {"jobs", this->scheduler.all_jobs().size()},
              {"workers", this->scheduler.all_workers().size()}});
-  this->timer.StartEvery(kTick);
+  this->timer.StartEvery(kTickPeriod);
   this->ActSoon();
 }
 
@@ -218,7 +218,7 @@
     return true;
   }
   const base::Micros latest =
-      this->earlier_confirmed + WithClockSlack(this->GrantBound());
+      this->earlier_confirmed + WithClockDrift(this->GrantBound());
   for (const LeaseHolder& holder : record->workers) {
     const base::Micros carried =
         this->store.LocalTime(holder.expires_store_ms) + kStoreClockSlack;
@@ -235,7 +235,7 @@
                                                const AcceptedJob& accepted,
                                                jobs::Progress progress,
                                                std::uint64_t version) const {
-  const base::Micros offset = TimeOfDayOffset();
+  const base::Micros offset = MonotonicTimeAt1970();
   try {
     scheduler::Job job = scheduler::MakeJob(
         id, accepted.queue, platform::ParseJob(accepted.body),
--- a/entry/ownership.cc
+++ b/entry/ownership.cc
@@ -107,7 +107,7 @@
 // Drawn anew each time, so that one daemon takes over and the others see it.
 base::Micros Ownership::DrawPatience() {
   const bool is_free = this->version == 0 || this->record.holder.empty();
-  const std::int64_t spread = is_free ? kFreeSpreadMillis : kSpreadMillis;
+  const std::int64_t spread = is_free ? kClaimJitterMillis : kSpreadMillis;
   return milliseconds(this->random() % spread);
 }
 
@@ -115,7 +115,7 @@
 base::Micros Ownership::Patience() const {
   const double cores = this->events.cores();
   if (this->version == 0)
-    return FirstWait(cores) + this->patience_draw;
+    return FirstClaimDelay(cores) + this->patience_draw;
   const bool is_weak = this->record.cores > kMuchStronger * cores;
   return this->patience_draw + (is_weak ? kWeakerWaits : base::Micros::zero());
 }
--- a/entry/shard_plan.cc
+++ b/entry/shard_plan.cc
@@ -22,7 +22,7 @@
 
 base::Micros WaitOf(double cores, std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  return FirstWait(cores) + milliseconds(random() % kFreeSpreadMillis);
+  return FirstClaimDelay(cores) + milliseconds(random() % kClaimJitterMillis);
 }
 
 }  // namespace
