--- a/entry/decision_log.cc
+++ b/entry/decision_log.cc
@@ -15,12 +15,12 @@
 using std::chrono::milliseconds;
 
 // A line names no more runs than this: a box of small tasks holds hundreds.
-constexpr std::size_t kMostRunsNamed = 12;
+constexpr std::size_t kMaxRunsListed = 12;
 
-std::string RunsText(const std::vector<scheduler::LostRun>& runs) {
+std::string FormatRuns(const std::vector<scheduler::LostRun>& runs) {
   std::string text;
-  const std::size_t named = std::min(runs.size(), kMostRunsNamed);
-  for (std::size_t i = 0; i < named; ++i) {
+  const std::size_t listed = std::min(runs.size(), kMaxRunsListed);
+  for (std::size_t i = 0; i < listed; ++i) {
     const scheduler::LostRun& lost = runs[i];
     text += fmt::format("{}{}.{}.{}.{} run {} age {}{}", i == 0 ? "" : ", ",
                         lost.task.job, lost.task.occurrence, lost.task.step,
@@ -30,7 +30,7 @@
   return text;
 }
 
-std::string LivesText(const jobs::WorkerLosses& losses) {
+std::string FormatLosses(const jobs::WorkerLosses& losses) {
   std::string text;
   for (const auto& [life, loss] : losses) {
     text += fmt::format("{}{} run {} {}{}", text.empty() ? "" : ", ",
@@ -43,21 +43,22 @@
 
 }  // namespace
 
-void LogJobOver(const scheduler::JobFinished& over) {
-  const scheduler::JobTimings& story = over.timings;
+void LogJobFinished(const scheduler::JobFinished& finished) {
+  const scheduler::JobTimings& timings = finished.timings;
   // A job that was cancelled before it began has no first place.
-  const base::Micros first = story.first_placed.value_or(milliseconds(-1));
+  const base::Micros first_placed =
+      timings.first_placed.value_or(milliseconds(-1));
   base::Log(base::Event::kJobOver,
-            {{"job", over.job},
-             {"queue", over.queue},
-             {"state", base::NameOf(jobs::kJobStateNames, over.state)},
-             {"took_ms", base::Millis(over.duration)},
-             {"objective_ms", base::Millis(over.objective)},
-             {"first_place_ms", base::Millis(first)},
-             {"longest_wait_ms", base::Millis(story.longest_wait)},
-             {"longest_run_ms", base::Millis(story.longest_run)},
-             {"runs", story.runs},
-             {"lost_runs", story.lost_runs}});
+            {{"job", finished.job},
+             {"queue", finished.queue},
+             {"state", base::NameOf(jobs::kJobStateNames, finished.state)},
+             {"took_ms", base::Millis(finished.duration)},
+             {"objective_ms", base::Millis(finished.objective)},
+             {"first_place_ms", base::Millis(first_placed)},
+             {"longest_wait_ms", base::Millis(timings.longest_wait)},
+             {"longest_run_ms", base::Millis(timings.longest_run)},
+             {"runs", timings.runs},
+             {"lost_runs", timings.lost_runs}});
 }
 
 void LogWorkerLost(const scheduler::WorkerLost& lost) {
@@ -69,7 +70,7 @@
              {"sign", base::NameOf(scheduler::kLossReasonNames, lost.reason)},
              {"heard_ms", was_heard ? base::Millis(lost.last_answer_ago) : -1},
              {"count", lost.runs.size()},
-             {"runs", RunsText(lost.runs)}});
+             {"runs", FormatRuns(lost.runs)}});
 }
 
 void LogWorkerRestarted(const scheduler::WorkerRestarted& restarted) {
@@ -81,18 +82,18 @@
              {"moved_runs", restarted.transferred_runs}});
 }
 
-void LogEndSkipped(const scheduler::RunEndIgnored& skipped) {
-  const jobs::TaskId& task = skipped.end.task;
+void LogRunEndIgnored(const scheduler::RunEndIgnored& ignored) {
+  const jobs::TaskId& task = ignored.end.task;
   base::Log(base::Event::kEndSkipped,
-            {{"worker", skipped.worker.id},
-             {"born_ms", skipped.worker.born_ms},
-             {"number", skipped.end.sequence},
-             {"ends_read", skipped.last_end_sequence},
+            {{"worker", ignored.worker.id},
+             {"born_ms", ignored.worker.born_ms},
+             {"number", ignored.end.sequence},
+             {"ends_read", ignored.last_end_sequence},
              {"task", fmt::format("{}.{}.{}.{}", task.job, task.occurrence,
                                   task.step, task.index)},
-             {"run", skipped.end.run},
+             {"run", ignored.end.run},
              {"how", base::NameOf(scheduler::kRunEndReasonNames,
-                                  skipped.end.reason)}});
+                                  ignored.end.reason)}});
 }
 
 void LogTaskGivenUp(const scheduler::TaskGivenUp& given_up) {
@@ -101,7 +102,7 @@
       base::Event::kTaskGivenUp,
       {{"task", fmt::format("{}.{}.{}.{}", given_up.job, task.step.occurrence,
                             task.step.step, task.index)},
-       {"workers", LivesText(given_up.losses)}});
+       {"workers", FormatLosses(given_up.losses)}});
 }
 
 void LogNote(const scheduler::LogNote& note) {
--- a/entry/decision_log.h
+++ b/entry/decision_log.h
@@ -7,11 +7,11 @@
 
 namespace quartzhoist::entry {
 
-void LogJobOver(const scheduler::JobFinished& over);
+void LogJobFinished(const scheduler::JobFinished& finished);
 void LogTaskGivenUp(const scheduler::TaskGivenUp& given_up);
 void LogWorkerLost(const scheduler::WorkerLost& lost);
 void LogWorkerRestarted(const scheduler::WorkerRestarted& restarted);
-void LogEndSkipped(const scheduler::RunEndIgnored& skipped);
+void LogRunEndIgnored(const scheduler::RunEndIgnored& ignored);
 void LogNote(const scheduler::LogNote& note);
 
 }  // namespace quartzhoist::entry
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -307,7 +307,7 @@
       manager.waves.Report(report);
     }
     void operator()(const scheduler::JobFinished& over) const {
-      LogJobOver(over);
+      LogJobFinished(over);
     }
     void operator()(const scheduler::WorkerLost& lost) const {
       manager.counters.Add(base::Counter::kWorkersLost);
@@ -317,7 +317,7 @@
       LogWorkerRestarted(restarted);
     }
     void operator()(const scheduler::RunEndIgnored& skipped) const {
-      LogEndSkipped(skipped);
+      LogRunEndIgnored(skipped);
     }
     void operator()(const scheduler::TaskGivenUp& task) const {
       manager.counters.Add(base::Counter::kTasksGivenUp);
