--- a/daemon/daemon_main.cc
+++ b/daemon/daemon_main.cc
@@ -71,7 +71,8 @@
     return kExitUsage;
   }
   if (only_check) {
-    fmt::print("{}: ok\n{}", file, entry::Describe(settings.deployment));
+    fmt::print("{}: ok\n{}", file,
+               entry::DescribeDeployment(settings.deployment));
     return kExitOk;
   }
   std::signal(SIGPIPE, SIG_IGN);
--- a/entry/entry_test.cc
+++ b/entry/entry_test.cc
@@ -47,9 +47,9 @@
   std::istringstream in(kGoodSettings);
   const Settings settings = ReadSettings(in, "f.ini");
   BOOST_TEST(settings.id == "edge-1");
-  BOOST_TEST(settings.metrics.empty());
-  BOOST_TEST(settings.longest_lease.count() == 10'000'000);
-  BOOST_TEST(settings.move_time.count() == 1'500'000);
+  BOOST_TEST(settings.metrics_address.empty());
+  BOOST_TEST(settings.max_lease.count() == 10'000'000);
+  BOOST_TEST(settings.move_duration.count() == 1'500'000);
 }
 
 BOOST_AUTO_TEST_CASE(WhatTheSettingsLeaveOutIsReadCautiously) {
--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -70,18 +70,21 @@
       settings_file(std::move(file)),
       settings_time(TimeOf(this->settings_file)),
       client(this->loop),
-      store(this->client, chosen.store, chosen.deployment, this->counters),
+      store(this->client,
+            chosen.store_address,
+            chosen.deployment,
+            this->counters),
       callers(this->loop,
               this->store,
               this->counters,
               [this](const platform::Row& row) { this->TakeOperatorRow(row); }),
       caller_server(this->loop,
-                    OptionsFor(chosen.callers, chosen.max_connections),
+                    OptionsFor(chosen.callers_address, chosen.max_connections),
                     [this](const http::ExchangePtr& exchange) {
                       this->callers.Handle(exchange);
                     }),
       readiness_server(this->loop,
-                       OptionsFor(chosen.readiness, kFewConnections),
+                       OptionsFor(chosen.readiness_address, kFewConnections),
                        [this](const http::ExchangePtr& exchange) {
                          this->AnswerReadiness(exchange);
                        }),
@@ -92,9 +95,9 @@
       reload_signal(this->loop, SIGHUP, [this] { this->Reload(); }),
       reload_timer(this->loop, [this] { this->ReloadIfChanged(); }) {
   this->reload_timer.StartEvery(kReloadPeriod);
-  if (!chosen.metrics.empty()) {
+  if (!chosen.metrics_address.empty()) {
     this->metrics_server = std::make_unique<http::Server>(
-        this->loop, OptionsFor(chosen.metrics, kFewConnections),
+        this->loop, OptionsFor(chosen.metrics_address, kFewConnections),
         [this](const http::ExchangePtr& exchange) {
           this->AnswerMetrics(exchange);
         });
@@ -130,7 +133,7 @@
       platform::TableFollower::Pace{.wait = chosen.deployment.config_in_force /
                                             kLooksInForce});
   this->plan = std::make_unique<ShardPlan>(
-      this->loop, this->store, chosen.cores, chosen.workers_an_owner, seed,
+      this->loop, this->store, chosen.cores, chosen.workers_per_owner, seed,
       [this, seed](int shards) { this->Begin(shards, seed); });
 }
 
@@ -186,7 +189,7 @@
     base::Log(base::Event::kSettingsRejected, {{"problem", error.what()}});
     return;
   }
-  this->store.SetAddress(this->settings.store);
+  this->store.SetAddress(this->settings.store_address);
   base::Log(base::Event::kSettingsReloaded, {{"file", this->settings_file}});
 }
 
@@ -331,7 +334,7 @@
   const base::Micros since = base::MonotonicNow() - this->stop_asked;
   const bool quiet =
       since > kStayAfterStop && this->caller_server.open_exchanges() == 0;
-  const bool over = since > this->settings.grace - kLeaveBeforeKill;
+  const bool over = since > this->settings.stop_grace_period - kLeaveBeforeKill;
   if (!quiet && !over)
     return;
   this->callers.End();
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -35,15 +35,15 @@
   if (settings.deployment.epochs_checked)
     return kMaxLeaseAfterConfirmation;
   return std::min(kMaxLeaseAfterConfirmation,
-                  kOwnerSilence + settings.longest_lease);
+                  kOwnerSilence + settings.max_lease);
 }
 
 // In doubt an owner that stops itself grants the longest lease there is; any
 // other grants the usual one.
 base::Micros LongestGrantOf(const Settings& settings) {
   return settings.deployment.epochs_checked
-             ? std::min(kLease, settings.longest_lease)
-             : settings.longest_lease;
+             ? std::min(kLease, settings.max_lease)
+             : settings.max_lease;
 }
 
 scheduler::SchedulerLimits LimitsOf(const Settings& settings,
@@ -51,14 +51,14 @@
                                     std::uint64_t epoch) {
   scheduler::SchedulerLimits limits;
   limits.shards = shard.count;
-  limits.lease_duration = std::min(kLease, settings.longest_lease);
+  limits.lease_duration = std::min(kLease, settings.max_lease);
   limits.max_lease_after_confirmation = GrantBoundOf(settings);
   limits.max_grant = WithClockDrift(LongestGrantOf(settings));
-  limits.max_lease = WithClockDrift(settings.longest_lease);
-  limits.max_stop_time = settings.stop_time;
+  limits.max_lease = WithClockDrift(settings.max_lease);
+  limits.max_stop_time = settings.max_stop_time;
   limits.epoch = epoch;
-  limits.fleet = {.move_duration = settings.move_time,
-                  .upkeep_duration = settings.upkeep_time};
+  limits.fleet = {.move_duration = settings.move_duration,
+                  .upkeep_duration = settings.upkeep_duration};
   return limits;
 }
 
@@ -83,10 +83,10 @@
       order_client(on, {.reset_on_close = true}),
       workers(this->order_client, [this] { return this->MayOrder(); }),
       boxes(this->order_client,
-            chosen.boxes,
+            chosen.boxes_address,
             chosen.id,
             [this] { return this->IsCertain(); }),
-      advisor(this->order_client, chosen.advice),
+      advisor(this->order_client, chosen.advice_address),
       scheduler(LimitsOf(chosen, of, own_epoch)),
       waves(from,
             of,
@@ -188,7 +188,7 @@
     return;
   this->renewed_in_doubt = true;
   const base::Micros now = base::MonotonicNow();
-  const base::Micros end = std::min(now + this->settings.longest_lease,
+  const base::Micros end = std::min(now + this->settings.max_lease,
                                     this->confirmed_at + this->GrantBound());
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
     const std::int64_t deadline = this->scheduler.LeaseDeadline(id, end);
@@ -260,7 +260,8 @@
   this->LogPools();
   const base::Micros now = base::MonotonicNow();
   if (now >= this->next_list && !this->listing_boxes &&
-      this->scheduler.needs_box_list() && !this->settings.boxes.empty()) {
+      this->scheduler.needs_box_list() &&
+      !this->settings.boxes_address.empty()) {
     this->listing_boxes = true;
     this->next_list = now + kListPeriod;
     this->ListBoxes("", {}, now);
--- a/entry/settings.cc
+++ b/entry/settings.cc
@@ -17,11 +17,11 @@
 
 using Key = base::SettingKey<Settings>;
 
-base::Micros TakeMillis(const std::string& value) {
+base::Micros ParseMilliseconds(const std::string& value) {
   return std::chrono::milliseconds(base::TakeWhole(value, 1, 600'000));
 }
 
-base::Micros TakeSpan(const std::string& value) {
+base::Micros ParseDuration(const std::string& value) {
   return base::TakeSeconds(value, 0.001, 3600.0);
 }
 
@@ -35,13 +35,21 @@
        s.cores = base::TakeNumber(v, 0.001, 1024.0);
      }},
     {"listen", "callers", true,
-     [](Settings& s, const std::string& v) { s.callers = TakeAddress(v); }},
+     [](Settings& s, const std::string& v) {
+       s.callers_address = TakeAddress(v);
+     }},
     {"listen", "readiness", true,
-     [](Settings& s, const std::string& v) { s.readiness = TakeAddress(v); }},
+     [](Settings& s, const std::string& v) {
+       s.readiness_address = TakeAddress(v);
+     }},
     {"listen", "metrics", false,
-     [](Settings& s, const std::string& v) { s.metrics = TakeAddress(v); }},
+     [](Settings& s, const std::string& v) {
+       s.metrics_address = TakeAddress(v);
+     }},
     {"store", "address", true,
-     [](Settings& s, const std::string& v) { s.store = TakeAddress(v); }},
+     [](Settings& s, const std::string& v) {
+       s.store_address = TakeAddress(v);
+     }},
     {"store", "writes_span_parts", false,
      [](Settings& s, const std::string& v) {
        s.deployment.writes_span_parts = base::TakeTruth(v);
@@ -57,31 +65,43 @@
      }},
     {"limits", "config_in_force_ms", false,
      [](Settings& s, const std::string& v) {
-       s.deployment.config_in_force = TakeMillis(v);
+       s.deployment.config_in_force = ParseMilliseconds(v);
      }},
     {"boxes", "address", false,
-     [](Settings& s, const std::string& v) { s.boxes = TakeAddress(v); }},
+     [](Settings& s, const std::string& v) {
+       s.boxes_address = TakeAddress(v);
+     }},
     {"advice", "address", false,
-     [](Settings& s, const std::string& v) { s.advice = TakeAddress(v); }},
+     [](Settings& s, const std::string& v) {
+       s.advice_address = TakeAddress(v);
+     }},
     {"limits", "longest_lease_ms", false,
      [](Settings& s, const std::string& v) {
-       s.longest_lease = TakeMillis(v);
+       s.max_lease = ParseMilliseconds(v);
      }},
     {"limits", "stop_ms", false,
-     [](Settings& s, const std::string& v) { s.stop_time = TakeMillis(v); }},
+     [](Settings& s, const std::string& v) {
+       s.max_stop_time = ParseMilliseconds(v);
+     }},
     {"limits", "move_seconds", false,
-     [](Settings& s, const std::string& v) { s.move_time = TakeSpan(v); }},
+     [](Settings& s, const std::string& v) {
+       s.move_duration = ParseDuration(v);
+     }},
     {"limits", "upkeep_seconds", false,
-     [](Settings& s, const std::string& v) { s.upkeep_time = TakeSpan(v); }},
+     [](Settings& s, const std::string& v) {
+       s.upkeep_duration = ParseDuration(v);
+     }},
     {"limits", "grace_seconds", false,
-     [](Settings& s, const std::string& v) { s.grace = TakeSpan(v); }},
+     [](Settings& s, const std::string& v) {
+       s.stop_grace_period = ParseDuration(v);
+     }},
     {"limits", "max_connections", false,
      [](Settings& s, const std::string& v) {
        s.max_connections = base::TakeWhole(v, 8, 65'536);
      }},
     {"limits", "workers_an_owner", false,
      [](Settings& s, const std::string& v) {
-       s.workers_an_owner =
+       s.workers_per_owner =
            static_cast<std::size_t>(base::TakeWhole(v, 1, 1'000'000));
      }},
 }};
@@ -94,7 +114,7 @@
                                       base::EmptyValue::kIsLeftOut);
 }
 
-std::string Describe(const platform::Deployment& deployment) {
+std::string DescribeDeployment(const platform::Deployment& deployment) {
   return fmt::format(
       "one write may span parts: {}\n"
       "bytes of a row at most: {}\n"
