--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -22,16 +22,16 @@
 
 // Without an answer of the store for this long the daemon is not ready. It
 // follows the owner's row, which answers each 0.7 to 1.5 s.
-constexpr base::Micros kStoreSilent = milliseconds(2600);
+constexpr base::Micros kStoreTimeout = milliseconds(2600);
 // After a stop signal new connections may come until the balancer has missed
 // the readiness twice, a second apart.
-constexpr base::Micros kStayAfterStop = milliseconds(3000);
+constexpr base::Micros kMinDrainTime = milliseconds(3000);
 // The process leaves this long before the platform kills it.
-constexpr base::Micros kLeaveBeforeKill = milliseconds(500);
-constexpr base::Micros kStopTick = milliseconds(50);
+constexpr base::Micros kExitBeforeKill = milliseconds(500);
+constexpr base::Micros kDrainCheckPeriod = milliseconds(50);
 
-http::ServerOptions OptionsFor(const std::string& address,
-                               std::int64_t max_connections) {
+http::ServerOptions ServerOptionsFor(const std::string& address,
+                                     std::int64_t max_connections) {
   const auto at = base::ParseIpAddress(address);
   http::ServerOptions options;
   options.address = at->ip;
@@ -40,24 +40,24 @@
   return options;
 }
 
-// The operators' feed answers so many times within the span in which a change
-// of the configuration must be in force: one that has fallen silent is noticed,
-// and asked again, before that is over.
-constexpr int kLooksInForce = 4;
+// The feed of operators answers so many times within the span in which a
+// change of the configuration must be in force: one that has fallen silent is
+// noticed, and asked again, before that is over.
+constexpr int kConfigPollsPerLimit = 4;
 
 // Few connections: the balancer's, and a scraper's.
-constexpr std::int64_t kFewConnections = 64;
+constexpr std::int64_t kMaxMonitoringConnections = 64;
 
 // How often the settings file is looked at; the platform may change it without
 // a signal.
 constexpr base::Micros kReloadPeriod = std::chrono::seconds(2);
 
-std::filesystem::file_time_type TimeOf(const std::string& file) {
+std::filesystem::file_time_type ModificationTime(const std::string& file) {
   std::error_code unknown;
   return std::filesystem::last_write_time(file, unknown);
 }
 
-std::uint64_t SeedOf(const std::string& id) {
+std::uint64_t MakeSeed(const std::string& id) {
   const auto now = std::chrono::system_clock::now().time_since_epoch().count();
   return std::hash<std::string>()(id) ^ static_cast<std::uint64_t>(now) ^
          (static_cast<std::uint64_t>(getpid()) << 32U);
@@ -68,28 +68,31 @@
 JobDaemon::JobDaemon(const Settings& chosen, std::string file)
     : settings(chosen),
       settings_file(std::move(file)),
-      settings_time(TimeOf(this->settings_file)),
+      settings_time(ModificationTime(this->settings_file)),
       client(this->loop),
       store(this->client,
             chosen.store_address,
             chosen.deployment,
             this->counters),
-      callers(this->loop,
-              this->store,
-              this->counters,
-              [this](const platform::Row& row) { this->TakeOperatorRow(row); }),
-      caller_server(this->loop,
-                    OptionsFor(chosen.callers_address, chosen.max_connections),
-                    [this](const http::ExchangePtr& exchange) {
-                      this->callers.Handle(exchange);
-                    }),
-      readiness_server(this->loop,
-                       OptionsFor(chosen.readiness_address, kFewConnections),
-                       [this](const http::ExchangePtr& exchange) {
-                         this->AnswerReadiness(exchange);
-                       }),
-      choice(SeedOf(chosen.id)),
-      stop_timer(this->loop, [this] { this->TryToEnd(); }),
+      callers(
+          this->loop,
+          this->store,
+          this->counters,
+          [this](const platform::Row& row) { this->ApplyOperatorRow(row); }),
+      caller_server(
+          this->loop,
+          ServerOptionsFor(chosen.callers_address, chosen.max_connections),
+          [this](const http::ExchangePtr& exchange) {
+            this->callers.Handle(exchange);
+          }),
+      readiness_server(
+          this->loop,
+          ServerOptionsFor(chosen.readiness_address, kMaxMonitoringConnections),
+          [this](const http::ExchangePtr& exchange) {
+            this->AnswerReadiness(exchange);
+          }),
+      shard_choice(MakeSeed(chosen.id)),
+      stop_timer(this->loop, [this] { this->ExitIfDrained(); }),
       stop_signal(this->loop, SIGTERM, [this] { this->Stop(); }),
       interrupt_signal(this->loop, SIGINT, [this] { this->Stop(); }),
       reload_signal(this->loop, SIGHUP, [this] { this->Reload(); }),
@@ -97,32 +100,33 @@
   this->reload_timer.StartEvery(kReloadPeriod);
   if (!chosen.metrics_address.empty()) {
     this->metrics_server = std::make_unique<http::Server>(
-        this->loop, OptionsFor(chosen.metrics_address, kFewConnections),
+        this->loop,
+        ServerOptionsFor(chosen.metrics_address, kMaxMonitoringConnections),
         [this](const http::ExchangePtr& exchange) {
           this->AnswerMetrics(exchange);
         });
   }
-  const std::uint64_t seed = SeedOf(chosen.id);
+  const std::uint64_t seed = MakeSeed(chosen.id);
   base::Log(base::Event::kDaemonStarted,
             {{"id", chosen.id},
              {"zone", chosen.zone},
              {"callers_port", this->caller_server.port()},
              {"readiness_port", this->readiness_server.port()},
              {"seed", seed}});
-  this->operators = std::make_unique<platform::TableFollower>(
+  this->operator_follower = std::make_unique<platform::TableFollower>(
       this->loop, this->store, std::string(platform::kOperatorTable),
       std::vector<std::string>{""},
       platform::TableFollower::Events{
           .on_all =
               [this](const std::vector<platform::Row>& rows) {
                 for (const platform::Row& row : rows)
-                  this->TakeOperatorRow(row);
+                  this->ApplyOperatorRow(row);
               },
           .on_changes =
               [this](const std::vector<platform::ChangedRow>& rows) {
                 for (const platform::ChangedRow& changed : rows) {
                   if (!changed.removed)
-                    this->TakeOperatorRow(changed.row);
+                    this->ApplyOperatorRow(changed.row);
                 }
               },
           .on_contact =
@@ -131,15 +135,15 @@
               },
           .on_lost = [] {}},
       platform::TableFollower::Pace{.wait = chosen.deployment.config_in_force /
-                                            kLooksInForce});
-  this->plan = std::make_unique<ShardPlan>(
+                                            kConfigPollsPerLimit});
+  this->shard_plan = std::make_unique<ShardPlan>(
       this->loop, this->store, chosen.cores, chosen.workers_per_owner, seed,
-      [this, seed](int shards) { this->Begin(shards, seed); });
+      [this, seed](int shards) { this->StartOwnerships(shards, seed); });
 }
 
-void JobDaemon::Begin(int shards, std::uint64_t seed) {
+void JobDaemon::StartOwnerships(int shards, std::uint64_t seed) {
   for (int i = 0; i < shards; ++i)
-    this->by_shard.push_back(std::make_unique<ManagedShard>(this->loop));
+    this->managed_shards.push_back(std::make_unique<ManagedShard>(this->loop));
   this->ownerships = std::make_unique<Ownerships>(
       this->loop, this->store, this->settings.id, this->settings.cores, shards,
       seed,
@@ -147,37 +151,38 @@
           .on_gained =
               [this](int shard, std::uint64_t epoch,
                      base::Micros earlier_confirmed) {
-                this->Gained(shard, epoch, earlier_confirmed);
+                this->OnOwnershipGained(shard, epoch, earlier_confirmed);
               },
-          .on_lost = [this](int shard) { this->Lost(shard); },
+          .on_lost = [this](int shard) { this->OnOwnershipLost(shard); },
           .on_confirmed =
               [this](int shard, base::Micros asked) {
-                ManagedShard& one = this->At(shard);
-                if (one.manager)
-                  one.manager->Confirmed(asked);
+                ManagedShard& managed = this->ManagedShardAt(shard);
+                if (managed.manager)
+                  managed.manager->Confirmed(asked);
               },
           .load = [this](int shard) { return this->LoadOf(shard); },
           .on_store_answered =
-              [this] { this->store_answered = base::MonotonicNow(); }});
+              [this] { this->last_store_answer = base::MonotonicNow(); }});
   this->callers.SetShards(
       shards, [this](const jobs::Config& now, const jobs::Queue& queue,
                      const jobs::JobSpec& job) {
-        return this->choice.Choose(now, queue, job, this->ownerships->Loads());
+        return this->shard_choice.Choose(now, queue, job,
+                                         this->ownerships->Loads());
       });
   // A stop signal came before.
-  if (this->stop_asked > base::Micros::zero())
+  if (this->stop_requested > base::Micros::zero())
     this->ownerships->Release();
 }
 
 void JobDaemon::ReloadIfChanged() {
-  if (TimeOf(this->settings_file) != this->settings_time)
+  if (ModificationTime(this->settings_file) != this->settings_time)
     this->Reload();
 }
 
 // Limits and the platform's addresses come into force; what is listened on, and
 // who this daemon is, stay as they were at the start.
 void JobDaemon::Reload() {
-  this->settings_time = TimeOf(this->settings_file);
+  this->settings_time = ModificationTime(this->settings_file);
   try {
     std::ifstream in(this->settings_file);
     if (!in)
@@ -193,7 +198,7 @@
   base::Log(base::Event::kSettingsReloaded, {{"file", this->settings_file}});
 }
 
-void JobDaemon::TakeOperatorRow(const platform::Row& row) {
+void JobDaemon::ApplyOperatorRow(const platform::Row& row) {
   try {
     if (row.at.key == platform::kConfigKey) {
       jobs::Config next = platform::ParseConfig(row.value);
@@ -203,9 +208,9 @@
       this->has_config = true;
       this->config = std::move(next);
       this->callers.SetConfig(this->config);
-      for (const auto& one : this->by_shard) {
-        if (one->manager)
-          one->manager->SetConfig(this->config);
+      for (const auto& managed : this->managed_shards) {
+        if (managed->manager)
+          managed->manager->SetConfig(this->config);
       }
       base::Log(base::Event::kConfigInstalled,
                 {{"version", this->config.version},
@@ -215,9 +220,9 @@
     if (row.at.key.starts_with(platform::kWavePrefix)) {
       const scheduler::Wave wave = platform::ParseWave(row.at.key, row.value);
       this->waves[wave.number] = wave;
-      for (const auto& one : this->by_shard) {
-        if (one->manager)
-          one->manager->SetWave(wave);
+      for (const auto& managed : this->managed_shards) {
+        if (managed->manager)
+          managed->manager->SetWave(wave);
       }
     }
   } catch (const platform::BadInput& problem) {
@@ -226,14 +231,15 @@
   }
 }
 
-void JobDaemon::Gained(int shard,
-                       std::uint64_t epoch,
-                       base::Micros earlier_confirmed) {
-  ManagedShard& one = this->At(shard);
-  one.end.Stop();
-  one.manager = std::make_unique<Manager>(
+void JobDaemon::OnOwnershipGained(int shard,
+                                  std::uint64_t epoch,
+                                  base::Micros earlier_confirmed) {
+  ManagedShard& managed = this->ManagedShardAt(shard);
+  managed.destroy_timer.Stop();
+  managed.manager = std::make_unique<Manager>(
       this->loop, this->store, this->counters, this->settings,
-      Shard{.number = shard, .count = static_cast<int>(this->by_shard.size())},
+      Shard{.number = shard,
+            .count = static_cast<int>(this->managed_shards.size())},
       epoch, earlier_confirmed,
       Manager::Authority{
           .orders_until = [this, shard] { return this->OrdersUntil(shard); },
@@ -241,17 +247,17 @@
           .on_fenced = [this,
                         shard] { this->ownerships->At(shard).Fenced(); }});
   for (const auto& [number, wave] : this->waves)
-    one.manager->SetWave(wave);
+    managed.manager->SetWave(wave);
   if (this->has_config)
-    one.manager->SetConfig(this->config);
+    managed.manager->SetConfig(this->config);
 }
 
-JobDaemon::ManagedShard& JobDaemon::At(int shard) const {
-  return *this->by_shard[static_cast<std::size_t>(shard)];
+JobDaemon::ManagedShard& JobDaemon::ManagedShardAt(int shard) const {
+  return *this->managed_shards[static_cast<std::size_t>(shard)];
 }
 
 ShardLoad JobDaemon::LoadOf(int shard) const {
-  const auto& manager = this->At(shard).manager;
+  const auto& manager = this->ManagedShardAt(shard).manager;
   return manager ? manager->Load() : ShardLoad();
 }
 
@@ -264,19 +270,20 @@
 // Where workers refuse the orders of an earlier owner, one that is not certain
 // goes on.
 base::Micros JobDaemon::OrdersUntil(int shard) const {
-  const bool goes_on = this->settings.deployment.epochs_checked &&
-                       this->ownerships->At(shard).holds();
-  return goes_on ? base::Micros::max() : this->CertainUntil(shard);
+  const bool may_order = this->settings.deployment.epochs_checked &&
+                         this->ownerships->At(shard).holds();
+  return may_order ? base::Micros::max() : this->CertainUntil(shard);
 }
 
-void JobDaemon::Lost(int shard) {
-  this->At(shard).end.StartOnce(base::Micros(1));
+void JobDaemon::OnOwnershipLost(int shard) {
+  this->ManagedShardAt(shard).destroy_timer.StartOnce(base::Micros(1));
 }
 
 bool JobDaemon::IsReady() const {
   return this->has_config && this->ownerships &&
-         this->stop_asked == base::Micros::zero() && !this->store.SeemsAway() &&
-         base::MonotonicNow() - this->store_answered < kStoreSilent;
+         this->stop_requested == base::Micros::zero() &&
+         !this->store.SeemsAway() &&
+         base::MonotonicNow() - this->last_store_answer < kStoreTimeout;
 }
 
 void JobDaemon::AnswerReadiness(const http::ExchangePtr& exchange) const {
@@ -289,11 +296,11 @@
 // A list with the state of each shard that this daemon owns.
 std::string JobDaemon::Dump() const {
   std::string list;
-  for (const auto& one : this->by_shard) {
-    if (!one->manager)
+  for (const auto& managed : this->managed_shards) {
+    if (!managed->manager)
       continue;
     list += list.empty() ? "" : ",";
-    list += one->manager->Dump();
+    list += managed->manager->Dump();
   }
   return "[" + list + "]";
 }
@@ -320,22 +327,23 @@
 
 // Others take over at once; callers that are still sent here are answered.
 void JobDaemon::Stop() {
-  if (this->stop_asked > base::Micros::zero())
+  if (this->stop_requested > base::Micros::zero())
     return;
-  this->stop_asked = base::MonotonicNow();
+  this->stop_requested = base::MonotonicNow();
   base::Log(base::Event::kDaemonStopping, {});
   this->callers.Stop();
   if (this->ownerships)
     this->ownerships->Release();
-  this->stop_timer.StartEvery(kStopTick);
+  this->stop_timer.StartEvery(kDrainCheckPeriod);
 }
 
-void JobDaemon::TryToEnd() {
-  const base::Micros since = base::MonotonicNow() - this->stop_asked;
-  const bool quiet =
-      since > kStayAfterStop && this->caller_server.open_exchanges() == 0;
-  const bool over = since > this->settings.stop_grace_period - kLeaveBeforeKill;
-  if (!quiet && !over)
+void JobDaemon::ExitIfDrained() {
+  const base::Micros elapsed = base::MonotonicNow() - this->stop_requested;
+  const bool is_drained =
+      elapsed > kMinDrainTime && this->caller_server.open_exchanges() == 0;
+  const bool is_out_of_time =
+      elapsed > this->settings.stop_grace_period - kExitBeforeKill;
+  if (!is_drained && !is_out_of_time)
     return;
   this->callers.End();
   this->loop.Stop();
--- a/entry/job_daemon.h
+++ b/entry/job_daemon.h
@@ -39,24 +39,26 @@
   // outside its own calls.
   struct ManagedShard {
     explicit ManagedShard(base::Loop& loop)
-        : end(loop, [this] { this->manager.reset(); }) {}
+        : destroy_timer(loop, [this] { this->manager.reset(); }) {}
 
     std::unique_ptr<Manager> manager;
-    base::Timer end;
+    base::Timer destroy_timer;
   };
 
   void Reload();
   void ReloadIfChanged();
-  void TakeOperatorRow(const platform::Row& row);
-  void Begin(int shards, std::uint64_t seed);
-  void Gained(int shard, std::uint64_t epoch, base::Micros earlier_confirmed);
-  ManagedShard& At(int shard) const;
+  void ApplyOperatorRow(const platform::Row& row);
+  void StartOwnerships(int shards, std::uint64_t seed);
+  void OnOwnershipGained(int shard,
+                         std::uint64_t epoch,
+                         base::Micros earlier_confirmed);
+  ManagedShard& ManagedShardAt(int shard) const;
   ShardLoad LoadOf(int shard) const;
   base::Micros OrdersUntil(int shard) const;
   base::Micros CertainUntil(int shard) const;
-  void Lost(int shard);
+  void OnOwnershipLost(int shard);
   void Stop();
-  void TryToEnd();
+  void ExitIfDrained();
   void AnswerReadiness(const http::ExchangePtr& exchange) const;
   void AnswerMetrics(const http::ExchangePtr& exchange) const;
   bool IsReady() const;
@@ -76,13 +78,13 @@
   bool has_config = false;
   jobs::Config config;
   std::map<int, scheduler::Wave> waves;
-  base::Micros store_answered{};
-  base::Micros stop_asked{};  // 0: none yet
-  std::vector<std::unique_ptr<ManagedShard>> by_shard;
+  base::Micros last_store_answer{};
+  base::Micros stop_requested{};  // 0: none yet
+  std::vector<std::unique_ptr<ManagedShard>> managed_shards;
   std::unique_ptr<Ownerships> ownerships;  // once the shards are known
-  std::unique_ptr<ShardPlan> plan;
-  ShardChoice choice;
-  std::unique_ptr<platform::TableFollower> operators;
+  std::unique_ptr<ShardPlan> shard_plan;
+  ShardChoice shard_choice;
+  std::unique_ptr<platform::TableFollower> operator_follower;
   base::Timer stop_timer;
   base::SignalWatcher stop_signal;
   base::SignalWatcher interrupt_signal;
