--- a/entry/entry_test.cc
+++ b/entry/entry_test.cc
@@ -13,7 +13,7 @@
 namespace quartzhoist::entry {
 namespace {
 
-constexpr const char* kGoodSettings = R"([daemon]
+constexpr const char* kValidSettings = R"([daemon]
 id = edge-1
 zone = hall-1
 [listen]
@@ -27,7 +27,7 @@
 move_seconds = 1.5
 )";
 
-std::string WhyRefused(const std::string& text) {
+std::string ParseError(const std::string& text) {
   std::istringstream in(text);
   try {
     static_cast<void>(ReadSettings(in, "f.ini"));
@@ -37,14 +37,14 @@
   return "";
 }
 
-std::string Replaced(const std::string& from, const std::string& to) {
-  std::string text = kGoodSettings;
+std::string WithReplacement(const std::string& from, const std::string& to) {
+  std::string text = kValidSettings;
   text.replace(text.find(from), from.size(), to);
   return text;
 }
 
-BOOST_AUTO_TEST_CASE(SettingsAreRead) {
-  std::istringstream in(kGoodSettings);
+BOOST_AUTO_TEST_CASE(ReadsValidSettings) {
+  std::istringstream in(kValidSettings);
   const Settings settings = ReadSettings(in, "f.ini");
   BOOST_TEST(settings.id == "edge-1");
   BOOST_TEST(settings.metrics_address.empty());
@@ -52,43 +52,46 @@
   BOOST_TEST(settings.move_duration.count() == 1'500'000);
 }
 
-BOOST_AUTO_TEST_CASE(WhatTheSettingsLeaveOutIsReadCautiously) {
-  std::istringstream in(kGoodSettings);
-  const platform::Deployment can = ReadSettings(in, "f.ini").deployment;
-  BOOST_TEST(!can.writes_span_parts);
-  BOOST_TEST(!can.epochs_checked);
-  std::istringstream rich(Replaced(
+BOOST_AUTO_TEST_CASE(OmittedDeploymentKeysHaveConservativeDefaults) {
+  std::istringstream in(kValidSettings);
+  const platform::Deployment defaults = ReadSettings(in, "f.ini").deployment;
+  BOOST_TEST(!defaults.writes_span_parts);
+  BOOST_TEST(!defaults.epochs_checked);
+  std::istringstream with_store_keys(WithReplacement(
       "address = 10.0.0.9:80",
       "address = 10.0.0.9:80\nwrites_span_parts = true\nrow_bytes = 70000"));
-  const platform::Deployment more = ReadSettings(rich, "f.ini").deployment;
-  BOOST_TEST(more.writes_span_parts);
-  BOOST_TEST(more.row_bytes == 70'000U);
-  BOOST_TEST(WhyRefused(Replaced("[limits]", "[boxes]\nepochs_checked = maybe"))
-                 .find("f.ini:11: [boxes] epochs_checked") == 0U);
+  const platform::Deployment deployment =
+      ReadSettings(with_store_keys, "f.ini").deployment;
+  BOOST_TEST(deployment.writes_span_parts);
+  BOOST_TEST(deployment.row_bytes == 70'000U);
+  BOOST_TEST(
+      ParseError(WithReplacement("[limits]", "[boxes]\nepochs_checked = maybe"))
+          .find("f.ini:11: [boxes] epochs_checked") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(BadSettingsNameFileLineAndKey) {
-  BOOST_TEST(WhyRefused(Replaced("zone = hall-1", "zoen = hall-1"))
+BOOST_AUTO_TEST_CASE(ErrorsNameFileLineAndKey) {
+  BOOST_TEST(ParseError(WithReplacement("zone = hall-1", "zoen = hall-1"))
                  .find("f.ini:3: [daemon] zoen") == 0U);
-  BOOST_TEST(WhyRefused(Replaced("10.0.0.1:80", "nowhere"))
+  BOOST_TEST(ParseError(WithReplacement("10.0.0.1:80", "nowhere"))
                  .find("f.ini:5: [listen] callers") == 0U);
-  BOOST_TEST(WhyRefused(Replaced("10000", "-1"))
+  BOOST_TEST(ParseError(WithReplacement("10000", "-1"))
                  .find("f.ini:11: [limits] longest_lease_ms") == 0U);
-  BOOST_TEST(WhyRefused(Replaced("move_seconds = 1.5", "move_seconds = x"))
-                 .find("[limits] move_seconds") != std::string::npos);
-  BOOST_TEST(WhyRefused(Replaced("id = edge-1\n", ""))
+  BOOST_TEST(
+      ParseError(WithReplacement("move_seconds = 1.5", "move_seconds = x"))
+          .find("[limits] move_seconds") != std::string::npos);
+  BOOST_TEST(ParseError(WithReplacement("id = edge-1\n", ""))
                  .find("[daemon] id: the key is missing") != std::string::npos);
 }
 
 // Each key of the template the platform fills is one that the daemon reads.
-BOOST_AUTO_TEST_CASE(EveryKeyOfTheTemplateIsKnown) {
+BOOST_AUTO_TEST_CASE(ReadsEveryKeyOfTheDeploymentTemplate) {
   std::ifstream file(std::string(QUARTZHOIST_SOURCE_DIR) +
                      "/deploy/quartzhoistd.ini");
   std::string filled;
   for (std::string line; std::getline(file, line);) {
-    const std::size_t gap = line.find("{{");
+    const std::size_t placeholder = line.find("{{");
     const std::string key = line.substr(0, line.find(' '));
-    if (gap != std::string::npos)
+    if (placeholder != std::string::npos)
       line = key + " = " +
              (key == "id" || key == "zone" ? "x"
               : key == "cores"             ? "0.5"
@@ -100,10 +103,10 @@
                                            : "10.0.0.1:80");
     filled += line + "\n";
   }
-  BOOST_TEST(WhyRefused(filled) == "");
+  BOOST_TEST(ParseError(filled) == "");
 }
 
-BOOST_AUTO_TEST_CASE(RowsAreReadAsTheyWereWritten) {
+BOOST_AUTO_TEST_CASE(RowEncodingsRoundTrip) {
   AcceptedJob job;
   job.queue.name = "q";
   job.queue.service = "s";
@@ -112,17 +115,17 @@
   job.queue.extension = 1.6;
   job.accepted_ms = 99;
   job.body = R"({"steps":[{}]})";
-  const auto read = DecodeAccepted(EncodeAccepted(job));
-  BOOST_REQUIRE(read.has_value());
-  BOOST_CHECK(read->queue == job.queue);
-  BOOST_TEST(read->body == job.body);
+  const auto decoded = DecodeAccepted(EncodeAccepted(job));
+  BOOST_REQUIRE(decoded.has_value());
+  BOOST_CHECK(decoded->queue == job.queue);
+  BOOST_TEST(decoded->body == job.body);
   BOOST_TEST(!DecodeAccepted("{}").has_value());
   BOOST_TEST(!DecodeOwner("[]").has_value());
   BOOST_TEST(!DecodeLeases("7").has_value());
-  const std::string kept = EncodeProgressRecord({.shard = 3, .text = "{}"});
-  BOOST_REQUIRE(DecodeProgressRecord(kept).has_value());
-  BOOST_TEST(DecodeProgressRecord(kept)->shard == 3);
-  BOOST_TEST(DecodeProgressRecord(kept)->text == "{}");
+  const std::string encoded = EncodeProgressRecord({.shard = 3, .text = "{}"});
+  BOOST_REQUIRE(DecodeProgressRecord(encoded).has_value());
+  BOOST_TEST(DecodeProgressRecord(encoded)->shard == 3);
+  BOOST_TEST(DecodeProgressRecord(encoded)->text == "{}");
   for (const char* text : {"", "{}", "3", "-1 {}", "x {}"})
     BOOST_TEST(!DecodeProgressRecord(std::string_view(text)).has_value());
   BOOST_TEST(ParseJobKey(CancelRow("abc", {}).key).is_cancel);
--- a/entry/process_test.cc
+++ b/entry/process_test.cc
@@ -15,21 +15,21 @@
 namespace {
 
 // Generous: nothing here is a measurement.
-constexpr double kSoon = 40;
+constexpr double kTimeoutSeconds = 40;
 constexpr int kJobs = 12;
 constexpr int kSteps = 2;
 constexpr int kTasks = 3;
 constexpr int kAllTasks = kJobs * kSteps * kTasks;
 
-std::string Joined(const std::vector<std::string>& lines) {
+std::string JoinLines(const std::vector<std::string>& lines) {
   std::string text;
   for (const std::string& line : lines)
     text += line + "\n";
   return text;
 }
 
-struct Bench {
-  explicit Bench(int daemons, int boxes = 4)
+struct ClusterFixture {
+  explicit ClusterFixture(int daemons, int boxes = 4)
       : cluster(QUARTZHOIST_BINARY_DIR, boxes) {
     for (int i = 0; i < daemons; ++i)
       this->cluster.StartDaemon("entry-" + std::to_string(i + 1));
@@ -39,19 +39,19 @@
 
   void WaitForOwner() {
     BOOST_REQUIRE(this->cluster.WaitUntil(
-        kSoon, [this] { return !this->cluster.Owner().empty(); }));
+        kTimeoutSeconds, [this] { return !this->cluster.Owner().empty(); }));
   }
 
   void Wait(base::Micros span) {
     const base::Micros until = base::MonotonicNow() + span;
-    this->cluster.WaitUntil(kSoon,
+    this->cluster.WaitUntil(kTimeoutSeconds,
                             [until] { return base::MonotonicNow() > until; });
   }
 
   void SubmitAll() {
     for (int i = 0; i < kJobs; ++i) {
       int status = 0;
-      BOOST_REQUIRE(cluster.WaitUntil(kSoon, [&, this] {
+      BOOST_REQUIRE(cluster.WaitUntil(kTimeoutSeconds, [&, this] {
         status = this->cluster.Submit(JobId(i), kSteps, kTasks);
         return status == 200;
       }));
@@ -66,20 +66,20 @@
     return true;
   }
 
-  void ExpectAllDoneOnce(int jobs = kJobs) {
+  void ExpectAllCompletedOnce(int jobs = kJobs) {
     BOOST_TEST(cluster.WaitUntil(
-        kSoon, [this, jobs] { return this->AllCompleted(jobs); }));
-    BOOST_TEST(Joined(this->cluster.workers().broken()) == "");
+        kTimeoutSeconds, [this, jobs] { return this->AllCompleted(jobs); }));
+    BOOST_TEST(JoinLines(this->cluster.workers().broken()) == "");
   }
 
   Process& OwnerProcess() {
     return *this->cluster.daemons().at(this->cluster.Owner()).process;
   }
 
-  bool OwnerIsNot(const std::string& id) {
-    return this->cluster.WaitUntil(kSoon, [&, this] {
-      const std::string now = this->cluster.Owner();
-      return !now.empty() && now != id;
+  bool WaitForOwnerOtherThan(const std::string& id) {
+    return this->cluster.WaitUntil(kTimeoutSeconds, [&, this] {
+      const std::string owner = this->cluster.Owner();
+      return !owner.empty() && owner != id;
     });
   }
 
@@ -87,154 +87,155 @@
 };
 
 BOOST_AUTO_TEST_CASE(JobsRunOnce) {
-  Bench bench(3);
-  bench.SubmitAll();
-  bench.ExpectAllDoneOnce();
-  BOOST_TEST(bench.cluster.workers().starts() == kAllTasks);
-  BOOST_TEST(bench.cluster.workers().ends_done() == kAllTasks);
+  ClusterFixture fixture(3);
+  fixture.SubmitAll();
+  fixture.ExpectAllCompletedOnce();
+  BOOST_TEST(fixture.cluster.workers().starts() == kAllTasks);
+  BOOST_TEST(fixture.cluster.workers().ends_done() == kAllTasks);
 }
 
 BOOST_AUTO_TEST_CASE(OwnerThatIsKilledIsTakenOver) {
-  Bench bench(3);
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
-  bench.SubmitAll();
-  BOOST_REQUIRE(bench.cluster.WaitUntil(
-      kSoon, [&] { return bench.cluster.workers().starts() > 0; }));
-  const std::string first = bench.cluster.Owner();
-  bench.OwnerProcess().Signal(SIGKILL);
-  BOOST_TEST(bench.OwnerIsNot(first));
-  bench.cluster.daemons().erase(first);
-  bench.ExpectAllDoneOnce();
+  ClusterFixture fixture(3);
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
+  fixture.SubmitAll();
+  BOOST_REQUIRE(fixture.cluster.WaitUntil(
+      kTimeoutSeconds, [&] { return fixture.cluster.workers().starts() > 0; }));
+  const std::string first_owner = fixture.cluster.Owner();
+  fixture.OwnerProcess().Signal(SIGKILL);
+  BOOST_TEST(fixture.WaitForOwnerOtherThan(first_owner));
+  fixture.cluster.daemons().erase(first_owner);
+  fixture.ExpectAllCompletedOnce();
 }
 
 BOOST_AUTO_TEST_CASE(OwnerThatThawsChangesNothing) {
-  Bench bench(3);
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
-  bench.SubmitAll();
-  BOOST_REQUIRE(bench.cluster.WaitUntil(
-      kSoon, [&] { return bench.cluster.workers().starts() > 0; }));
-  const std::string first = bench.cluster.Owner();
-  Process& frozen = bench.OwnerProcess();
+  ClusterFixture fixture(3);
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
+  fixture.SubmitAll();
+  BOOST_REQUIRE(fixture.cluster.WaitUntil(
+      kTimeoutSeconds, [&] { return fixture.cluster.workers().starts() > 0; }));
+  const std::string first_owner = fixture.cluster.Owner();
+  Process& frozen = fixture.OwnerProcess();
   frozen.Signal(SIGSTOP);
-  BOOST_TEST(bench.OwnerIsNot(first));
+  BOOST_TEST(fixture.WaitForOwnerOtherThan(first_owner));
   frozen.Signal(SIGCONT);
-  bench.ExpectAllDoneOnce();
-  BOOST_TEST(bench.cluster.Owner() != first);
+  fixture.ExpectAllCompletedOnce();
+  BOOST_TEST(fixture.cluster.Owner() != first_owner);
 }
 
 // Owners that are cut off from the store, not from workers and boxes: nothing
 // is ordered under an earlier epoch, though nobody would refuse it.
 BOOST_AUTO_TEST_CASE(OwnersThatAreReplacedOrderNothing) {
-  Bench bench(0);
-  bench.cluster.store().Put(
+  ClusterFixture fixture(0);
+  fixture.cluster.store().Put(
       {.table = "op", .part = "", .key = "wave/1"},
       R"({"wave":1,"machines":["box-1","box-2","box-3","box-4"],)"
       R"("durationS":20,"maxCount":1})");
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(700));
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(700));
   for (const char* id : {"entry-1", "entry-2", "entry-3"})
-    bench.cluster.StartDaemonOverLink(id);
-  bench.WaitForOwner();
-  bench.SubmitAll();
+    fixture.cluster.StartDaemonOverLink(id);
+  fixture.WaitForOwner();
+  fixture.SubmitAll();
   for (int i = 0; i < 3; ++i) {
-    const std::string owner = bench.cluster.Owner();
-    bench.cluster.LinkOf(owner).Cut();
-    BOOST_TEST(bench.OwnerIsNot(owner));
+    const std::string owner = fixture.cluster.Owner();
+    fixture.cluster.LinkOf(owner).Cut();
+    BOOST_TEST(fixture.WaitForOwnerOtherThan(owner));
     // The next one is at work while the earlier one knows nothing of it.
-    bench.Wait(std::chrono::milliseconds(2500));
-    bench.cluster.LinkOf(owner).Join();
+    fixture.Wait(std::chrono::milliseconds(2500));
+    fixture.cluster.LinkOf(owner).Join();
   }
-  bench.ExpectAllDoneOnce();
+  fixture.ExpectAllCompletedOnce();
 }
 
 // The connections to the store fall silent, all at once and for good.
 BOOST_AUTO_TEST_CASE(SilentConnectionsToTheStoreAreReplaced) {
-  Bench bench(0);
+  ClusterFixture fixture(0);
   for (const char* id : {"entry-1", "entry-2"})
-    bench.cluster.StartDaemonOverLink(id);
-  bench.WaitForOwner();
-  bench.SubmitAll();
+    fixture.cluster.StartDaemonOverLink(id);
+  fixture.WaitForOwner();
+  fixture.SubmitAll();
   for (const char* id : {"entry-1", "entry-2"})
-    bench.cluster.LinkOf(id).SilenceOpen();
-  BOOST_REQUIRE(bench.cluster.WaitUntil(
-      kSoon, [&] { return bench.cluster.Submit(JobId(50), 1, 1) == 200; }));
-  bench.ExpectAllDoneOnce();
+    fixture.cluster.LinkOf(id).SilenceOpen();
+  BOOST_REQUIRE(fixture.cluster.WaitUntil(kTimeoutSeconds, [&] {
+    return fixture.cluster.Submit(JobId(50), 1, 1) == 200;
+  }));
+  fixture.ExpectAllCompletedOnce();
 }
 
 BOOST_AUTO_TEST_CASE(StoppedOwnerHandsOverAndLeaves) {
-  Bench bench(2);
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
-  bench.SubmitAll();
-  const std::string first = bench.cluster.Owner();
-  Process& stopped = bench.OwnerProcess();
+  ClusterFixture fixture(2);
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
+  fixture.SubmitAll();
+  const std::string first_owner = fixture.cluster.Owner();
+  Process& stopped = fixture.OwnerProcess();
   stopped.Signal(SIGTERM);
-  BOOST_TEST(bench.OwnerIsNot(first));
+  BOOST_TEST(fixture.WaitForOwnerOtherThan(first_owner));
   // It answers callers until it leaves.
-  BOOST_TEST(bench.cluster.Call(first, "GET", JobId(0)).status == 200);
-  BOOST_TEST(
-      bench.cluster.WaitUntil(kSoon, [&] { return !stopped.running(); }));
+  BOOST_TEST(fixture.cluster.Call(first_owner, "GET", JobId(0)).status == 200);
+  BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds,
+                                       [&] { return !stopped.running(); }));
   BOOST_TEST(stopped.Wait(1).value_or(-1) == 0);
-  bench.cluster.daemons().erase(first);
-  bench.ExpectAllDoneOnce();
+  fixture.cluster.daemons().erase(first_owner);
+  fixture.ExpectAllCompletedOnce();
 }
 
 BOOST_AUTO_TEST_CASE(OutageOfTheStoreLosesAndDoublesNothing) {
-  Bench bench(2);
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(500));
-  bench.SubmitAll();
-  bench.cluster.store().SetMood(StoreStandin::Mood::kBusy);
-  BOOST_TEST(bench.cluster.Submit(JobId(99), 1, 1) == 503);
-  bench.Wait(std::chrono::milliseconds(1500));
-  bench.cluster.store().SetMood(StoreStandin::Mood::kWell);
-  bench.ExpectAllDoneOnce();
+  ClusterFixture fixture(2);
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(500));
+  fixture.SubmitAll();
+  fixture.cluster.store().SetMood(StoreStandin::Mood::kBusy);
+  BOOST_TEST(fixture.cluster.Submit(JobId(99), 1, 1) == 503);
+  fixture.Wait(std::chrono::milliseconds(1500));
+  fixture.cluster.store().SetMood(StoreStandin::Mood::kWell);
+  fixture.ExpectAllCompletedOnce();
   // What was refused never runs.
-  BOOST_TEST(bench.cluster.Call("entry-1", "GET", JobId(99)).status == 410);
+  BOOST_TEST(fixture.cluster.Call("entry-1", "GET", JobId(99)).status == 410);
 }
 
 BOOST_AUTO_TEST_CASE(TasksOfAWorkerThatCrashedRunElsewhere) {
-  Bench bench(2);
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(600));
-  bench.SubmitAll();
-  BOOST_REQUIRE(bench.cluster.WaitUntil(
-      kSoon, [&] { return bench.cluster.workers().starts() > 4; }));
+  ClusterFixture fixture(2);
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(600));
+  fixture.SubmitAll();
+  BOOST_REQUIRE(fixture.cluster.WaitUntil(
+      kTimeoutSeconds, [&] { return fixture.cluster.workers().starts() > 4; }));
   for (const char* box : {"box-1", "box-2"})
-    bench.cluster.workers().Crash(box);
-  bench.ExpectAllDoneOnce();
+    fixture.cluster.workers().Crash(box);
+  fixture.ExpectAllCompletedOnce();
 }
 
 // Guards against ends of a worker's next life under its id that are lost.
 BOOST_AUTO_TEST_CASE(TasksOnWorkersThatKeepTheirIdRunOnce) {
-  Bench bench(2);
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(250));
-  bench.SubmitAll();
+  ClusterFixture fixture(2);
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(250));
+  fixture.SubmitAll();
   // Two of them: a task under which three have crashed may be given up.
   for (const char* box : {"box-1", "box-2", "box-1", "box-2"}) {
-    bench.Wait(std::chrono::milliseconds(400));
-    bench.cluster.workers().Restart(box);
+    fixture.Wait(std::chrono::milliseconds(400));
+    fixture.cluster.workers().Restart(box);
   }
-  bench.ExpectAllDoneOnce();
+  fixture.ExpectAllCompletedOnce();
 }
 
 BOOST_AUTO_TEST_CASE(LostAnswersOfTheStoreLoseAndDoubleNothing) {
-  Bench bench(2);
-  bench.cluster.store().SetMood(StoreStandin::Mood::kLosesAnswers);
-  bench.SubmitAll();
-  bench.ExpectAllDoneOnce();
-  BOOST_TEST(bench.cluster.workers().ends_done() == kAllTasks);
+  ClusterFixture fixture(2);
+  fixture.cluster.store().SetMood(StoreStandin::Mood::kLosesAnswers);
+  fixture.SubmitAll();
+  fixture.ExpectAllCompletedOnce();
+  BOOST_TEST(fixture.cluster.workers().ends_done() == kAllTasks);
 }
 
 BOOST_AUTO_TEST_CASE(WaveIsCarriedOutAndReported) {
-  Bench bench(2);
-  bench.cluster.store().Put(
+  ClusterFixture fixture(2);
+  fixture.cluster.store().Put(
       {.table = "op", .part = "", .key = "wave/1"},
       R"({"wave":1,"machines":["box-1","box-3"],"durationS":20,"maxCount":1})");
-  bench.SubmitAll();
-  BOOST_TEST(bench.cluster.WaitUntil(kSoon, [&] {
-    return bench.cluster.store()
+  fixture.SubmitAll();
+  BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds, [&] {
+    return fixture.cluster.store()
                .Value({.table = "status", .part = "", .key = "wave/1"})
                .find("completed") != std::string::npos;
   }));
-  BOOST_TEST(bench.cluster.workers().upkeeps() == 2);
-  bench.ExpectAllDoneOnce();
+  BOOST_TEST(fixture.cluster.workers().upkeeps() == 2);
+  fixture.ExpectAllCompletedOnce();
 }
 
 // --- Access keys, and entries of other writers ---
@@ -256,47 +257,50 @@
   const platform::RowKey config{.table = "op", .part = "", .key = "config"};
   const std::vector<std::string> keys = {
       "pqk8bdk9eevyxq2yyaza", "x6pwawxdmdejk7f92bqu", "wrong4zz81kk2mmq0ppd"};
-  Bench bench(2);
-  const auto says = [&bench](const std::string& key, int status) {
-    bench.cluster.SetKey(key);
-    return bench.cluster.WaitUntil(kSoon, [&bench, status] {
-      return bench.cluster.Call("entry-1", "GET", JobId(1)).status == status;
+  ClusterFixture fixture(2);
+  const auto gets_status = [&fixture](const std::string& key, int status) {
+    fixture.cluster.SetKey(key);
+    return fixture.cluster.WaitUntil(kTimeoutSeconds, [&fixture, status] {
+      return fixture.cluster.Call("entry-1", "GET", JobId(1)).status == status;
     });
   };
-  bench.cluster.store().Put(config, KeyedConfig(2, keys[0]));
-  BOOST_TEST(says("", 401));
-  BOOST_TEST(says(keys[0], 410));
-  BOOST_TEST(says(keys[2], 401));
-  BOOST_TEST(bench.cluster.Submit(JobId(1), 1, 1) == 401);
-  bench.cluster.SetKey(keys[0]);
-  BOOST_TEST(bench.cluster.Submit(JobId(1), 1, 1) == 200);
-  bench.cluster.store().Put(config, KeyedConfig(3, keys[1]));
-  BOOST_TEST(says(keys[0], 401));
-  BOOST_TEST(says(keys[1], 200));
-  const std::string half = KeyedConfig(4, keys[1]);
-  bench.cluster.store().Put(config, half.substr(0, half.size() - 9));
-  bench.cluster.store().Put(config, KeyedConfig(5, keys[1] + R"(",7,")"));
-  BOOST_TEST(says(keys[1], 200));
-  constexpr std::size_t kPart = 6;
-  for (auto& [id, daemon] : bench.cluster.daemons()) {
+  fixture.cluster.store().Put(config, KeyedConfig(2, keys[0]));
+  BOOST_TEST(gets_status("", 401));
+  BOOST_TEST(gets_status(keys[0], 410));
+  BOOST_TEST(gets_status(keys[2], 401));
+  BOOST_TEST(fixture.cluster.Submit(JobId(1), 1, 1) == 401);
+  fixture.cluster.SetKey(keys[0]);
+  BOOST_TEST(fixture.cluster.Submit(JobId(1), 1, 1) == 200);
+  fixture.cluster.store().Put(config, KeyedConfig(3, keys[1]));
+  BOOST_TEST(gets_status(keys[0], 401));
+  BOOST_TEST(gets_status(keys[1], 200));
+  const std::string truncated = KeyedConfig(4, keys[1]);
+  fixture.cluster.store().Put(config,
+                              truncated.substr(0, truncated.size() - 9));
+  fixture.cluster.store().Put(config, KeyedConfig(5, keys[1] + R"(",7,")"));
+  BOOST_TEST(gets_status(keys[1], 200));
+  constexpr std::size_t kFragmentLength = 6;
+  for (auto& [id, daemon] : fixture.cluster.daemons()) {
     // The feed brings it to each daemon in its own time.
-    BOOST_TEST(bench.cluster.WaitUntil(kSoon, [&daemon = daemon] {
+    BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds, [&daemon = daemon] {
       return daemon.process->Output().find("row_malformed") !=
              std::string::npos;
     }));
     const std::string log = daemon.process->Output();
     for (const std::string& key : keys) {
-      for (std::size_t at = 0; at + kPart <= key.size(); ++at)
-        BOOST_TEST(log.find(key.substr(at, kPart)) == std::string::npos);
+      for (std::size_t start = 0; start + kFragmentLength <= key.size();
+           ++start)
+        BOOST_TEST(log.find(key.substr(start, kFragmentLength)) ==
+                   std::string::npos);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(EntriesOfAnotherWriterHarmNothing) {
-  Bench bench(2);
-  const auto put = [&bench](const char* id, const std::string& entry) {
-    bench.cluster.store().Put({.table = "servers", .part = "", .key = id},
-                              entry);
+  ClusterFixture fixture(2);
+  const auto put = [&fixture](const char* id, const std::string& entry) {
+    fixture.cluster.store().Put({.table = "servers", .part = "", .key = id},
+                                entry);
   };
   put("i-empty", "");
   put("i-bytes", "\xff\xfe\x01");
@@ -306,23 +310,23 @@
   put("i-asleep", R"({"service":"press","address":"127.0.0.1:1","zone":"z",)"
                   R"("state":"asleep","machine":"box-9","labels":["a","r"],)"
                   R"("capacity":{"cpu":64000,"memMb":64000}})");
-  bench.cluster.store().Put({.table = "op", .part = "", .key = "wave/1"},
-                            R"({"wave":1,"machines":"box-1"})");
-  bench.SubmitAll();
-  bench.ExpectAllDoneOnce();
+  fixture.cluster.store().Put({.table = "op", .part = "", .key = "wave/1"},
+                              R"({"wave":1,"machines":"box-1"})");
+  fixture.SubmitAll();
+  fixture.ExpectAllCompletedOnce();
 }
 
 // --- Several shards ---
 
-struct ShardedBench : Bench {
+struct ShardedFixture : ClusterFixture {
   static constexpr int kShards = 2;
 
   // Eight boxes, four of them in each shard.
-  ShardedBench() : Bench(0, 8) {
+  ShardedFixture() : ClusterFixture(0, 8) {
     this->cluster.SetWorkersAnOwner(4);
     for (const char* id : {"entry-1", "entry-2", "entry-3"})
       this->cluster.StartDaemon(id);
-    BOOST_REQUIRE(this->cluster.WaitUntil(kSoon, [this] {
+    BOOST_REQUIRE(this->cluster.WaitUntil(kTimeoutSeconds, [this] {
       return !this->OwnerOf(0).empty() && !this->OwnerOf(1).empty();
     }));
   }
@@ -333,52 +337,53 @@
 };
 
 BOOST_AUTO_TEST_CASE(JobsOfSeveralShardsRunOnce) {
-  ShardedBench bench;
-  bench.SubmitAll();
-  bench.ExpectAllDoneOnce();
-  BOOST_TEST(bench.cluster.workers().starts() == kAllTasks);
-  BOOST_TEST(bench.cluster.workers().ends_done() == kAllTasks);
+  ShardedFixture fixture;
+  fixture.SubmitAll();
+  fixture.ExpectAllCompletedOnce();
+  BOOST_TEST(fixture.cluster.workers().starts() == kAllTasks);
+  BOOST_TEST(fixture.cluster.workers().ends_done() == kAllTasks);
 }
 
 BOOST_AUTO_TEST_CASE(ShardsOfAKilledOwnerAreTakenOver) {
-  ShardedBench bench;
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
-  bench.SubmitAll();
-  BOOST_REQUIRE(bench.cluster.WaitUntil(
-      kSoon, [&] { return bench.cluster.workers().starts() > 0; }));
-  const std::string first = bench.OwnerOf(0);
-  bench.cluster.daemons().at(first).process->Signal(SIGKILL);
-  BOOST_TEST(bench.cluster.WaitUntil(kSoon, [&] {
-    return bench.OwnerOf(0) != first && bench.OwnerOf(1) != first;
+  ShardedFixture fixture;
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(800));
+  fixture.SubmitAll();
+  BOOST_REQUIRE(fixture.cluster.WaitUntil(
+      kTimeoutSeconds, [&] { return fixture.cluster.workers().starts() > 0; }));
+  const std::string first_owner = fixture.OwnerOf(0);
+  fixture.cluster.daemons().at(first_owner).process->Signal(SIGKILL);
+  BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds, [&] {
+    return fixture.OwnerOf(0) != first_owner &&
+           fixture.OwnerOf(1) != first_owner;
   }));
-  bench.cluster.daemons().erase(first);
-  bench.ExpectAllDoneOnce();
+  fixture.cluster.daemons().erase(first_owner);
+  fixture.ExpectAllCompletedOnce();
 }
 
 // One box may be away at a time, whichever owner's it is.
 BOOST_AUTO_TEST_CASE(WaveOverSeveralShardsStaysWithinItsLimit) {
-  ShardedBench bench;
-  bench.cluster.store().Put(
+  ShardedFixture fixture;
+  fixture.cluster.store().Put(
       {.table = "op", .part = "", .key = "wave/1"},
       R"({"wave":1,"machines":["box-1","box-2","box-5","box-6"],)"
       R"("durationS":20,"maxCount":1})");
-  bench.SubmitAll();
-  BOOST_TEST(bench.cluster.WaitUntil(kSoon, [&] {
-    return bench.cluster.store()
+  fixture.SubmitAll();
+  BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds, [&] {
+    return fixture.cluster.store()
                .Value({.table = "status", .part = "", .key = "wave/1"})
                .find("completed") != std::string::npos;
   }));
-  BOOST_TEST(bench.cluster.workers().upkeeps() == 4);
-  BOOST_TEST(bench.cluster.workers().most_away() == 1U);
-  bench.ExpectAllDoneOnce();
+  BOOST_TEST(fixture.cluster.workers().upkeeps() == 4);
+  BOOST_TEST(fixture.cluster.workers().most_away() == 1U);
+  fixture.ExpectAllCompletedOnce();
 }
 
-struct QuotaBench : ShardedBench {
+struct QuotaFixture : ShardedFixture {
   static constexpr const char* kKey = "a-key";
 
   // Daemons that have not heard of the keys take jobs of no organisation, which
   // no quota holds: every one of them is to have heard.
-  explicit QuotaBench(const std::string& cpu_millis) {
+  explicit QuotaFixture(const std::string& cpu_millis) {
     std::string config = KeyedConfig(2, kKey);
     const std::string large = "1000000";
     config.replace(config.find(large), large.size(), cpu_millis);
@@ -386,7 +391,7 @@
                               config);
     this->cluster.SetKey("another-key");
     for (const auto& [id, daemon] : this->cluster.daemons()) {
-      BOOST_REQUIRE(this->cluster.WaitUntil(kSoon, [this, &id = id] {
+      BOOST_REQUIRE(this->cluster.WaitUntil(kTimeoutSeconds, [this, &id = id] {
         return this->cluster.Call(id, "GET", JobId(1)).status == 401;
       }));
     }
@@ -394,81 +399,83 @@
     this->cluster.workers().SetRunTime(std::chrono::milliseconds(150));
   }
 
-  void KillOwnerOf(int shard) {
+  void KillOwner(int shard) {
     const std::string id = this->OwnerOf(shard);
     this->cluster.daemons().at(id).process->Signal(SIGKILL);
     this->cluster.daemons().erase(id);
   }
 
-  bool HoldsJob(int shard, const std::string& job) {
-    const entry::Shard at{.number = shard, .count = kShards};
-    return !this->cluster.store().Value(entry::JobRow(job, at)).empty();
+  bool ShardHasJob(int number, const std::string& job) {
+    const entry::Shard shard{.number = number, .count = kShards};
+    return !this->cluster.store().Value(entry::JobRow(job, shard)).empty();
   }
 };
 
 // A quota of four tasks, so small that its jobs go to one shard, which borrows
 // the other's share: it is not passed, also while owners are killed.
 BOOST_AUTO_TEST_CASE(QuotaHoldsOverSeveralShardsAndTakeovers) {
-  QuotaBench bench("2000");
-  bench.SubmitAll();
-  BOOST_REQUIRE(bench.cluster.WaitUntil(
-      kSoon, [&] { return bench.cluster.workers().starts() > 8; }));
-  bench.KillOwnerOf(0);
-  bench.ExpectAllDoneOnce();
+  QuotaFixture fixture("2000");
+  fixture.SubmitAll();
+  BOOST_REQUIRE(fixture.cluster.WaitUntil(
+      kTimeoutSeconds, [&] { return fixture.cluster.workers().starts() > 8; }));
+  fixture.KillOwner(0);
+  fixture.ExpectAllCompletedOnce();
   // Four by the quota, and one task that may overlap it.
-  BOOST_TEST(bench.cluster.workers().most_running() <= 5);
-  BOOST_TEST(bench.cluster.workers().most_running() >= 3);
+  BOOST_TEST(fixture.cluster.workers().most_running() <= 5);
+  BOOST_TEST(fixture.cluster.workers().most_running() >= 3);
 }
 
 // A quota of eight tasks whose jobs are spread over both shards: together they
 // keep within it, also while an owner is killed in the middle.
 BOOST_AUTO_TEST_CASE(QuotaHoldsForJobsOfBothShards) {
   constexpr int kSingleTasks = 36;
-  QuotaBench bench("4000");
+  QuotaFixture fixture("4000");
   // Jobs come quicker than eight of them end: more than the quota waits.
-  bench.cluster.workers().SetRunTime(std::chrono::milliseconds(1200));
+  fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(1200));
   int in_shard_0 = 0;
   for (int i = 0; i < kSingleTasks; ++i) {
-    BOOST_REQUIRE(bench.cluster.WaitUntil(
-        kSoon, [&] { return bench.cluster.Submit(JobId(i), 1, 1) == 200; }));
-    in_shard_0 += bench.HoldsJob(0, JobId(i)) ? 1 : 0;
+    BOOST_REQUIRE(fixture.cluster.WaitUntil(kTimeoutSeconds, [&] {
+      return fixture.cluster.Submit(JobId(i), 1, 1) == 200;
+    }));
+    in_shard_0 += fixture.ShardHasJob(0, JobId(i)) ? 1 : 0;
   }
   BOOST_TEST(in_shard_0 > 0);
   BOOST_TEST(in_shard_0 < kSingleTasks);
-  bench.KillOwnerOf(0);
-  bench.ExpectAllDoneOnce(kSingleTasks);
+  fixture.KillOwner(0);
+  fixture.ExpectAllCompletedOnce(kSingleTasks);
   // Eight by the quota, and one task that may overlap it.
-  BOOST_TEST(bench.cluster.workers().most_running() <= 9);
-  BOOST_TEST(bench.cluster.workers().most_running() >= 6);
+  BOOST_TEST(fixture.cluster.workers().most_running() <= 9);
+  BOOST_TEST(fixture.cluster.workers().most_running() >= 6);
 }
 
-BOOST_AUTO_TEST_CASE(SettingsAreReadAgainAndBadOnesRefused) {
-  Bench bench(1);
-  JobCluster::Daemon& daemon = bench.cluster.daemons().at("entry-1");
+BOOST_AUTO_TEST_CASE(ReloadsValidSettingsAndRejectsInvalidOnes) {
+  ClusterFixture fixture(1);
+  JobCluster::Daemon& daemon = fixture.cluster.daemons().at("entry-1");
   const auto log_has = [&daemon](const char* text) {
     return daemon.process->Output().find(text) != std::string::npos;
   };
   std::ofstream(daemon.settings, std::ios::app) << "grace_seconds = 5\n";
   daemon.process->Signal(SIGHUP);
-  BOOST_TEST(bench.cluster.WaitUntil(
-      kSoon, [&] { return log_has("settings_reloaded"); }));
+  BOOST_TEST(fixture.cluster.WaitUntil(
+      kTimeoutSeconds, [&] { return log_has("settings_reloaded"); }));
   // A change without a signal is noticed too; a bad one changes nothing.
   std::ofstream(daemon.settings, std::ios::app) << "graze_seconds = 5\n";
-  BOOST_TEST(bench.cluster.WaitUntil(
-      kSoon, [&] { return log_has("[limits] graze_seconds"); }));
-  BOOST_TEST(bench.cluster.Submit(JobId(1), 1, 1) == 200);
+  BOOST_TEST(fixture.cluster.WaitUntil(
+      kTimeoutSeconds, [&] { return log_has("[limits] graze_seconds"); }));
+  BOOST_TEST(fixture.cluster.Submit(JobId(1), 1, 1) == 200);
 }
 
 BOOST_AUTO_TEST_CASE(CancelledJobIsSaidToBe) {
-  Bench bench(2);
-  bench.cluster.workers().SetRunTime(std::chrono::seconds(30));
-  BOOST_REQUIRE(bench.cluster.Submit(JobId(1), 1, 2) == 200);
-  BOOST_REQUIRE(bench.cluster.WaitUntil(
-      kSoon, [&] { return bench.cluster.workers().starts() == 2; }));
-  BOOST_TEST(bench.cluster.Call("entry-1", "DELETE", JobId(1)).status == 200);
-  BOOST_TEST(bench.cluster.WaitUntil(kSoon, [&] {
-    return bench.cluster.StateOf(JobId(1)) == "cancelled" &&
-           bench.cluster.workers().RunningTasks(JobId(1)) == 0;
+  ClusterFixture fixture(2);
+  fixture.cluster.workers().SetRunTime(std::chrono::seconds(30));
+  BOOST_REQUIRE(fixture.cluster.Submit(JobId(1), 1, 2) == 200);
+  BOOST_REQUIRE(fixture.cluster.WaitUntil(kTimeoutSeconds, [&] {
+    return fixture.cluster.workers().starts() == 2;
+  }));
+  BOOST_TEST(fixture.cluster.Call("entry-1", "DELETE", JobId(1)).status == 200);
+  BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds, [&] {
+    return fixture.cluster.StateOf(JobId(1)) == "cancelled" &&
+           fixture.cluster.workers().RunningTasks(JobId(1)) == 0;
   }));
 }
 
