--- a/entry/tables.cc
+++ b/entry/tables.cc
@@ -12,8 +12,8 @@
 
 using Json = nlohmann::json;
 
-// Writes of one part are made in turn, some 300 a second on the sites, 4 a
-// second in a slow store.
+// The store executes the writes of one partition one after the other: about 300
+// a second at the sites, 4 a second with a slow store.
 constexpr std::size_t kPartCount = 64;
 constexpr std::string_view kCancelSuffix = "!cancel";
 constexpr std::string_view kQuotaPrefix = "of/";
@@ -201,7 +201,7 @@
       holder.worker.service = row.at(3).get<std::string>();
       holder.held = row.at(4).get<bool>();
       holder.expires_store_ms = row.at(5).get<std::int64_t>();
-      // Earlier rows have no start.
+      // Rows of earlier versions lack the start time.
       if (row.size() > 6)
         holder.worker.life.born_ms = row.at(6).get<std::int64_t>();
       record.workers.push_back(std::move(holder));
--- a/entry/tables.h
+++ b/entry/tables.h
@@ -1,5 +1,5 @@
-// The product's own tables in the platform's store: names, keys and forms of
-// the rows. docs/PLATFORM.md says which write carries which condition.
+// The daemons' own tables in the platform's store: table names, row keys and
+// row encodings. docs/PLATFORM.md lists the condition of each write.
 
 #ifndef ENTRY_TABLES_H_
 #define ENTRY_TABLES_H_
@@ -20,108 +20,119 @@
 
 namespace quartzhoist::entry {
 
-// In how many shards the fleet is scheduled; written once.
+// Number of shards of the fleet; written once.
 inline constexpr std::string_view kShardCountTable = "shards";
 inline constexpr std::string_view kShardCountKey = "count";
-// Accepted jobs, never rewritten, and beside them their cancels. Each shard
-// has a table of its own, since a feed brings a whole table.
+// Accepted jobs and their cancellation requests; rows are immutable. Each shard
+// has its own table, because a feed always covers a whole table.
 inline constexpr std::string_view kJobTable = "jobs";
-// One row a job, rewritten by the owner under the row's version. It lies where
-// its id says, so that a job handed in again is found whichever shard has it.
+// One row per job, which the owner rewrites conditionally on the row's version.
+// Its location depends on the job id alone, so that a resubmitted job is found
+// whichever shard has it.
 inline constexpr std::string_view kProgressTable = "progress";
-// Who schedules each shard, under which epoch.
+// The owner of each shard and its epoch.
 inline constexpr std::string_view kOwnerTable = "owner";
 inline constexpr std::string_view kOwnerKey = "scheduler";
-// Workers that may hold a lease, written before the first is granted.
+// Workers that may hold a lease. A worker is written here before its first
+// lease is granted.
 inline constexpr std::string_view kLeaseTable = "leases";
 inline constexpr std::string_view kLeaseKey = "workers";
-// How many jobs of each queue wait: a row for each shard, in one part, since
-// callers ask for them together.
+// Number of waiting jobs of each queue: one row per shard. All rows are in one
+// partition (RowKey::part), because a caller's request reads them together.
 inline constexpr std::string_view kQueueLengthTable = "counts";
-// Boxes of each wave whose upkeep has begun, and the shards that are done.
+// For each wave, the boxes whose maintenance has begun and the shards that are
+// done.
 inline constexpr std::string_view kWaveTable = "waves";
-
-// What the shard's owner is about to ask of boxes: recorded before each call.
+// Move and maintenance calls for boxes, recorded by the shard's owner before
+// each call is sent.
 inline constexpr std::string_view kBoxCallTable = "boxes";
 inline constexpr std::string_view kBoxCallKey = "calls";
-// How the shards share each organisation's quota: a row for each that is not
-// shared equally, and one for each shard that its owner writes when it takes
-// over. All in one part, since a write has conditions on both.
+// Shares of the organisations' quotas by shard: one row for each organisation
+// whose quota is not split equally, and one for each shard, which its owner
+// writes at takeover. All rows are in one partition, because a write has
+// conditions on rows of both kinds.
 inline constexpr std::string_view kQuotaTable = "quotas";
 
-// A row of a small table of the daemons' own. Each shard's rows lie in a part
-// of their own, since calls to one part are carried out in turn.
+// Key of a row in the shard's partition of `table`. Each shard has its own
+// partition, because the store executes the calls to one partition one after
+// the other.
 platform::RowKey ShardRowKey(std::string_view table,
                              std::string_view key,
                              const Shard& shard);
-// The part of such a table that holds the shard's rows.
+// The partition of `table` that holds the shard's rows.
 std::string ShardPart(std::string_view table, const Shard& shard);
-// The parts of all shards.
+// The partitions of all shards.
 std::vector<std::string> ShardParts(std::string_view table, int shards);
 platform::RowKey OwnerRow(const Shard& shard);
 platform::RowKey ShardCountRow();
 platform::RowKey QueueLengthRow(const Shard& shard);
 platform::RowKey OrganisationQuotaRow(const std::string& organisation);
-// Written by each new owner of the shard: the writes of an earlier one that are
-// still on their way do not fit any more.
+// Each new owner of the shard writes this row, so that writes of an earlier
+// owner that are still in flight fail their condition.
 platform::RowKey QuotaOwnerRow(const Shard& shard);
-// The organisation of a row of kQuotaTable; nothing for an owner's row.
+// The organisation of a row of kQuotaTable; empty for an owner's row.
 std::optional<std::string> ParseQuotaKey(std::string_view key);
 
-// The parts that jobs are spread over: writes of one part are made in turn.
+// The partitions over which jobs are distributed; the store executes the writes
+// of one partition one after the other.
 const std::vector<std::string>& JobParts();
 std::string JobTable(const Shard& shard);
 platform::RowKey JobRow(const std::string& job, const Shard& shard);
 platform::RowKey CancelRow(const std::string& job, const Shard& shard);
 platform::RowKey ProgressRow(const std::string& job);
-// The job of a row of kJobTable, and whether the row is its cancel.
+// Key of a row of kJobTable: the job, or the cancellation request for it.
 struct JobKey {
   std::string job;
   bool is_cancel = false;
 };
 JobKey ParseJobKey(std::string_view key);
 
-// A job as it was accepted: what the caller sent, and the queue's terms then.
+// A job as accepted: the request body, and the queue's configuration at that
+// time.
 struct AcceptedJob {
   jobs::Queue queue;
-  std::int64_t accepted_ms = 0;  // since 1970
-  std::string organisation;      // whose key came with it; empty: none
+  std::int64_t accepted_ms = 0;  // Unix time
+  std::string organisation;      // owner of the access key; empty without a key
   std::string body;
 };
 std::string EncodeAccepted(const AcceptedJob& job);
-// Nothing if the text is not of this form.
+// Empty if the text is malformed.
 std::optional<AcceptedJob> DecodeAccepted(std::string_view text);
 
-// A job's progress as its row holds it, with the number of its shard.
+// Row of kProgressTable: a job's progress and the number of its shard.
 struct ProgressRecord {
   int shard = 0;
-  std::string_view text;  // see jobs::DecodeProgress
+  std::string_view text;  // encoded by jobs::EncodeProgress
 };
 std::string EncodeProgressRecord(const ProgressRecord& record);
-// Refers to `row`, which must outlive it; nothing if that is not of this form.
+// The result refers to `row`, which must outlive it; empty if `row` is
+// malformed.
 std::optional<ProgressRecord> DecodeProgressRecord(std::string_view row);
 std::optional<ProgressRecord> DecodeProgressRecord(std::string&& row) = delete;
 
 struct OwnerRecord {
-  std::string holder;       // a daemon; empty: given up
-  std::string incarnation;  // of its process
-  std::uint64_t epoch = 0;  // rises with each holder
-  std::uint64_t beat = 0;   // rises with each confirmation
-  double cores = 0.0;       // of the holder's box; 0: not known
-  // A daemon on a much stronger box, which the holder is to make way for.
+  std::string holder;       // id of the daemon; empty if released
+  std::string incarnation;  // of the holder's process
+  std::uint64_t epoch = 0;  // increases with each holder
+  std::uint64_t beat = 0;   // increases with each confirmation (heartbeat)
+  double cores = 0.0;       // of the holder's box; 0 if unknown
+  // A daemon on a much stronger box, in whose favour the holder is to release
+  // the shard.
   std::string successor;
-  ShardLoad load;  // as of this beat
+  ShardLoad load;  // at the time of this heartbeat
 };
 std::string EncodeOwner(const OwnerRecord& record);
 std::optional<OwnerRecord> DecodeOwner(std::string_view text);
 
-// Workers that may hold a lease from the owner of this epoch, or an earlier.
-// One that the owner holds gets leases from it; one that it has only heard of
-// from an earlier owner, and not listed, has none beyond that time.
+// Workers that may hold a lease from the owner of this epoch or of an earlier
+// one. Workers with `held` set get leases from this owner. The others were
+// inherited from an earlier owner and have not reported to this one; their
+// leases end by expires_store_ms.
 struct LeaseHolder {
-  scheduler::WorkerInfo worker;  // life, address, box and service
+  scheduler::WorkerInfo worker;  // only life, address, box and service
   bool held = true;
-  std::int64_t expires_store_ms = 0;  // on the store's clock, if not held
+  // Bound for a worker that is not held, on the store's clock; 0 if unknown.
+  std::int64_t expires_store_ms = 0;
 };
 struct LeaseRecord {
   std::uint64_t epoch = 0;
@@ -130,8 +141,8 @@
 std::string EncodeLeases(const LeaseRecord& record);
 std::optional<LeaseRecord> DecodeLeases(std::string_view text);
 
-// Calls for boxes that the owner of this epoch, or an earlier one, has recorded
-// and not seen settled.
+// Calls for boxes that were recorded by the owner of this epoch or of an
+// earlier one and whose outcome is still unknown.
 struct BoxCallRecord {
   std::uint64_t epoch = 0;
   std::vector<scheduler::BoxCall> calls;
@@ -140,15 +151,16 @@
 std::optional<BoxCallRecord> DecodeBoxCalls(std::string_view text);
 
 std::string EncodeShardCount(int count);
-// Nothing if the text is no count that a fleet may be scheduled in.
+// Empty unless the text is a power of two up to kMostShards.
 std::optional<int> DecodeShardCount(std::string_view text);
 
 std::string EncodeNames(const std::vector<std::string>& names);
+// Skips entries that are not strings; empty if the text is not a list.
 std::vector<std::string> DecodeNames(std::string_view text);
 
-// Waiting jobs by queue.
+// `counts`: number of waiting jobs by queue.
 std::string EncodeQueueLengths(const std::map<std::string, int>& counts);
-// 0 for a queue that the text does not name.
+// 0 if the text does not name the queue or is malformed.
 std::int64_t QueueLengthOf(std::string_view text, const std::string& queue);
 
 }  // namespace quartzhoist::entry
