--- a/entry/timing.h
+++ b/entry/timing.h
@@ -1,4 +1,4 @@
-// Times that the owner's parts share.
+// Time constants and clock helpers shared by the modules of a shard's owner.
 
 #ifndef ENTRY_TIMING_H_
 #define ENTRY_TIMING_H_
@@ -10,36 +10,40 @@
 
 namespace quartzhoist::entry {
 
-// How often the owner lets time pass.
+// Period of the owner's timer, which advances the scheduler's time.
 inline constexpr base::Micros kTickPeriod = std::chrono::milliseconds(50);
-// News is acted on after this, so that what comes together is placed together.
+// Delay between an event and the scheduling pass it triggers, so that events
+// that arrive together are handled in one pass.
 inline constexpr base::Micros kBatchDelay = std::chrono::milliseconds(2);
-// A turn walks over all workers. After news the next one leaves so many times
-// what the last one took, so that turns take a twelfth of the time at most
-// (350 workers: 38% of an owner's time without a distance).
+// A scheduling pass iterates over all workers. After an event, the next pass
+// starts no sooner than this many times the duration of the last pass after its
+// start, up to kMaxPassGap, so that passes take at most a twelfth of the time.
+// Without a gap they took 38% of an owner's time with 350 workers.
 inline constexpr int kPassGapFactor = 12;
 inline constexpr base::Micros kMaxPassGap = std::chrono::milliseconds(50);
-// A holder of the ownership whose row has not changed for this long is taken
-// over: three confirmations missed. A slow store (80 times 4 ms) stays below
+// A shard is taken over once its owner row has not changed for this long, which
+// is about three missed confirmations. A slow store (80 times 4 ms) stays below
 // it.
 inline constexpr base::Micros kOwnerSilence = std::chrono::milliseconds(1300);
-// No lease lasts longer than this after the store confirmed the ownership: a
-// store that is away for less interrupts nothing (sites: up to 9 s).
+// Bound on every lease, counted from the last ownership confirmation by the
+// store. A shorter outage of the store interrupts no runs; outages of up to 9 s
+// occur at the sites.
 inline constexpr base::Micros kMaxLeaseAfterConfirmation =
     std::chrono::milliseconds(10'000);
 
-// A span that another box's or worker's clock measured, on ours at most: steady
-// clocks differ by 2%.
+// Upper bound, on the local clock, of a time span measured by the clock of
+// another box or worker. Monotonic clocks differ by 2%.
 inline base::Micros WithClockDrift(base::Micros span) {
   constexpr double kClockDriftFactor = 1.05;
   return base::Micros(static_cast<std::int64_t>(
       static_cast<double>(span.count()) * kClockDriftFactor));
 }
 
-// What no daemon has done yet (owning a shard for the first time, counting the
-// shards) one with a whole core does after this, one with a part of a core
-// later in proportion, so that the strongest box comes first; and each after a
-// draw below the spread more.
+// Delay before a daemon does what no daemon has done yet: taking a shard that
+// never had an owner, or determining the number of shards. It is inversely
+// proportional to the cores of the daemon's box, so that the strongest box goes
+// first. Each daemon adds a random delay below kClaimJitterMillis, as it does
+// before it takes a released shard.
 inline base::Micros FirstClaimDelay(double cores) {
   constexpr base::Micros kWholeCoreDelay = std::chrono::milliseconds(60);
   return base::Micros(static_cast<std::int64_t>(
@@ -47,7 +51,7 @@
 }
 inline constexpr std::int64_t kClaimJitterMillis = 120;
 
-// The monotonic clock's reading at 1970.
+// Reading of the monotonic clock at the Unix epoch.
 inline base::Micros MonotonicTimeAt1970() {
   const auto since_1970 = std::chrono::duration_cast<base::Micros>(
       std::chrono::system_clock::now().time_since_epoch());
