--- a/entry/decision_log.cc
+++ b/entry/decision_log.cc
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-// A line names no more runs than this: a box of small tasks holds hundreds.
+// Maximum number of runs listed in a line; a box with small tasks has hundreds.
 constexpr std::size_t kMaxRunsListed = 12;
 
 std::string FormatRuns(const std::vector<scheduler::LostRun>& runs) {
@@ -45,7 +45,7 @@
 
 void LogJobFinished(const scheduler::JobFinished& finished) {
   const scheduler::JobTimings& timings = finished.timings;
-  // A job that was cancelled before it began has no first place.
+  // A job that was cancelled before its first placement has none.
   const base::Micros first_placed =
       timings.first_placed.value_or(milliseconds(-1));
   base::Log(base::Event::kJobOver,
--- a/entry/decision_log.h
+++ b/entry/decision_log.h
@@ -1,4 +1,4 @@
-// Log lines of what the scheduler decided or found out.
+// Logs the decisions and findings that the scheduler returns among its actions.
 
 #ifndef ENTRY_DECISION_LOG_H_
 #define ENTRY_DECISION_LOG_H_
