--- a/entry/settings.cc
+++ b/entry/settings.cc
@@ -109,17 +109,17 @@
 }  // namespace
 
 Settings ReadSettings(std::istream& in, const std::string& file) {
-  // What the platform does not know for an optional key, it leaves empty.
+  // The platform leaves optional keys empty if it has no value for them.
   return base::ReadSettings<Settings>(in, file, kKeys,
                                       base::EmptyValue::kIsLeftOut);
 }
 
 std::string DescribeDeployment(const platform::Deployment& deployment) {
   return fmt::format(
-      "one write may span parts: {}\n"
-      "bytes of a row at most: {}\n"
+      "writes may span partitions: {}\n"
+      "maximum row size: {} bytes\n"
       "workers and boxes check epochs: {}\n"
-      "a configuration is in force within: {:.3f} s\n",
+      "configuration changes take effect within: {:.3f} s\n",
       deployment.writes_span_parts, deployment.row_bytes,
       deployment.epochs_checked, base::Seconds(deployment.config_in_force));
 }
