--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -20,13 +20,13 @@
 
 using std::chrono::milliseconds;
 
-// Without an answer of the store for this long the daemon is not ready. It
-// follows the owner's row, which answers each 0.7 to 1.5 s.
+// The daemon is not ready if the store has not responded for this long. The
+// feed of the owner rows responds every 0.7 to 1.5 s.
 constexpr base::Micros kStoreTimeout = milliseconds(2600);
-// After a stop signal new connections may come until the balancer has missed
-// the readiness twice, a second apart.
+// Time to keep serving after a stop signal. The load balancer routes new
+// connections here until two readiness checks, a second apart, have failed.
 constexpr base::Micros kMinDrainTime = milliseconds(3000);
-// The process leaves this long before the platform kills it.
+// The process exits this long before the platform would kill it.
 constexpr base::Micros kExitBeforeKill = milliseconds(500);
 constexpr base::Micros kDrainCheckPeriod = milliseconds(50);
 
@@ -40,16 +40,17 @@
   return options;
 }
 
-// The feed of operators answers so many times within the span in which a
-// change of the configuration must be in force: one that has fallen silent is
-// noticed, and asked again, before that is over.
+// Number of responses of the operator table's feed within the time limit for a
+// configuration change to take effect. A feed that stops responding is thus
+// detected and polled again within the limit.
 constexpr int kConfigPollsPerLimit = 4;
 
-// Few connections: the balancer's, and a scraper's.
+// Connection limit of the readiness and metrics endpoints, which serve only the
+// load balancer and a metrics scraper.
 constexpr std::int64_t kMaxMonitoringConnections = 64;
 
-// How often the settings file is looked at; the platform may change it without
-// a signal.
+// Interval of checks for a changed settings file; the platform may change it
+// without sending a signal.
 constexpr base::Micros kReloadPeriod = std::chrono::seconds(2);
 
 std::filesystem::file_time_type ModificationTime(const std::string& file) {
@@ -169,7 +170,7 @@
         return this->shard_choice.Choose(now, queue, job,
                                          this->ownerships->Loads());
       });
-  // A stop signal came before.
+  // The stop signal arrived before the shards were known.
   if (this->stop_requested > base::Micros::zero())
     this->ownerships->Release();
 }
@@ -179,8 +180,8 @@
     this->Reload();
 }
 
-// Limits and the platform's addresses come into force; what is listened on, and
-// who this daemon is, stay as they were at the start.
+// Applies changed limits and platform addresses. The listening addresses and
+// the daemon's id remain those of the start.
 void JobDaemon::Reload() {
   this->settings_time = ModificationTime(this->settings_file);
   try {
@@ -202,7 +203,7 @@
   try {
     if (row.at.key == platform::kConfigKey) {
       jobs::Config next = platform::ParseConfig(row.value);
-      // A configuration never goes back.
+      // An older version never replaces a newer one.
       if (this->has_config && next.version <= this->config.version)
         return;
       this->has_config = true;
@@ -261,14 +262,15 @@
   return manager ? manager->Load() : ShardLoad();
 }
 
-// An owner that has lost the ownership is only destroyed a moment later.
+// The manager of a lost shard is destroyed slightly later and may still ask, so
+// the ownership itself is checked.
 base::Micros JobDaemon::CertainUntil(int shard) const {
   const Ownership& ownership = this->ownerships->At(shard);
   return ownership.holds() ? ownership.certain_until() : base::Micros::zero();
 }
 
-// Where workers refuse the orders of an earlier owner, one that is not certain
-// goes on.
+// If workers reject commands with an outdated epoch, an owner may continue
+// without certainty that it is still the owner.
 base::Micros JobDaemon::OrdersUntil(int shard) const {
   const bool may_order = this->settings.deployment.epochs_checked &&
                          this->ownerships->At(shard).holds();
@@ -293,7 +295,7 @@
       http::JsonResponse(this->IsReady() ? kReady : kNotReady, "{}"));
 }
 
-// A list with the state of each shard that this daemon owns.
+// JSON list with the state of each shard that this daemon owns.
 std::string JobDaemon::Dump() const {
   std::string list;
   for (const auto& managed : this->managed_shards) {
@@ -325,7 +327,8 @@
   exchange->Reply(std::move(response));
 }
 
-// Others take over at once; callers that are still sent here are answered.
+// Releases all shards, so that other daemons take over at once. Requests that
+// the load balancer still routes here are served until the process exits.
 void JobDaemon::Stop() {
   if (this->stop_requested > base::Micros::zero())
     return;
--- a/entry/job_daemon.h
+++ b/entry/job_daemon.h
@@ -1,5 +1,6 @@
-// The daemon of an entry box that takes jobs: callers' interface, readiness,
-// metrics, and the ownerships with what an owner does. One loop, one thread.
+// The daemon of an entry box: the callers' interface, readiness and metrics
+// endpoints, and a manager for each shard it owns. Runs an event loop on a
+// single thread.
 
 #ifndef ENTRY_JOB_DAEMON_H_
 #define ENTRY_JOB_DAEMON_H_
@@ -27,16 +28,17 @@
 
 class JobDaemon {
  public:
-  // Throws std::runtime_error if an address cannot be listened on.
-  // `file` is read again at SIGHUP and whenever it changes.
+  // Throws std::runtime_error if it cannot listen on an address. The settings
+  // `file` is reloaded on SIGHUP and whenever it changes.
   JobDaemon(const Settings& settings, std::string file);
 
   // Returns after a stop signal.
   void Run();
 
  private:
-  // A shard's manager, while this daemon owns the shard. It is destroyed
-  // outside its own calls.
+  // A shard and its manager, which exists while this daemon owns the shard. A
+  // timer destroys the manager, since it must not be destroyed during a call of
+  // its own.
   struct ManagedShard {
     explicit ManagedShard(base::Loop& loop)
         : destroy_timer(loop, [this] { this->manager.reset(); }) {}
@@ -79,9 +81,9 @@
   jobs::Config config;
   std::map<int, scheduler::Wave> waves;
   base::Micros last_store_answer{};
-  base::Micros stop_requested{};  // 0: none yet
+  base::Micros stop_requested{};  // time of the stop signal; 0 before it
   std::vector<std::unique_ptr<ManagedShard>> managed_shards;
-  std::unique_ptr<Ownerships> ownerships;  // once the shards are known
+  std::unique_ptr<Ownerships> ownerships;  // null until the shards are known
   std::unique_ptr<ShardPlan> shard_plan;
   ShardChoice shard_choice;
   std::unique_ptr<platform::TableFollower> operator_follower;
