--- a/entry/entry_test.cc
+++ b/entry/entry_test.cc
@@ -1,4 +1,4 @@
-// Settings and rows of an entry box.
+// Tests of the settings and of the row encodings.
 
 #include <fstream>
 #include <sstream>
@@ -83,7 +83,8 @@
                  .find("[daemon] id: the key is missing") != std::string::npos);
 }
 
-// Each key of the template the platform fills is one that the daemon reads.
+// Guards against a key in the platform's settings template that the daemon
+// rejects as unknown.
 BOOST_AUTO_TEST_CASE(ReadsEveryKeyOfTheDeploymentTemplate) {
   std::ifstream file(std::string(QUARTZHOIST_SOURCE_DIR) +
                      "/deploy/quartzhoistd.ini");
--- a/entry/process_test.cc
+++ b/entry/process_test.cc
@@ -1,5 +1,6 @@
-// Real daemons that run jobs, under failure: killed, frozen, stopped, cut from
-// the store; workers that crash; a wave of upkeep.
+// Runs jobs on daemon processes under failures: daemons that are killed,
+// suspended, stopped or disconnected from the store, crashing workers, and
+// maintenance waves.
 
 #include <csignal>
 #include <fstream>
@@ -14,7 +15,7 @@
 namespace quartzhoist::testing {
 namespace {
 
-// Generous: nothing here is a measurement.
+// Generous, because the tests measure no latency.
 constexpr double kTimeoutSeconds = 40;
 constexpr int kJobs = 12;
 constexpr int kSteps = 2;
@@ -122,8 +123,9 @@
   BOOST_TEST(fixture.cluster.Owner() != first_owner);
 }
 
-// Owners that are cut off from the store, not from workers and boxes: nothing
-// is ordered under an earlier epoch, though nobody would refuse it.
+// Owners lose their connection to the store, but not to workers and boxes.
+// Guards against commands with an outdated epoch, which the workers and boxes
+// of this deployment would accept.
 BOOST_AUTO_TEST_CASE(OwnersThatAreReplacedOrderNothing) {
   ClusterFixture fixture(0);
   fixture.cluster.store().Put(
@@ -139,14 +141,15 @@
     const std::string owner = fixture.cluster.Owner();
     fixture.cluster.LinkOf(owner).Cut();
     BOOST_TEST(fixture.WaitForOwnerOtherThan(owner));
-    // The next one is at work while the earlier one knows nothing of it.
+    // The new owner works while the disconnected one has not heard of it.
     fixture.Wait(std::chrono::milliseconds(2500));
     fixture.cluster.LinkOf(owner).Join();
   }
   fixture.ExpectAllCompletedOnce();
 }
 
-// The connections to the store fall silent, all at once and for good.
+// All open connections to the store stop delivering data permanently without
+// being closed. Guards against daemons that keep waiting on them.
 BOOST_AUTO_TEST_CASE(SilentConnectionsToTheStoreAreReplaced) {
   ClusterFixture fixture(0);
   for (const char* id : {"entry-1", "entry-2"})
@@ -169,7 +172,7 @@
   Process& stopped = fixture.OwnerProcess();
   stopped.Signal(SIGTERM);
   BOOST_TEST(fixture.WaitForOwnerOtherThan(first_owner));
-  // It answers callers until it leaves.
+  // It serves callers until it exits.
   BOOST_TEST(fixture.cluster.Call(first_owner, "GET", JobId(0)).status == 200);
   BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds,
                                        [&] { return !stopped.running(); }));
@@ -187,7 +190,7 @@
   fixture.Wait(std::chrono::milliseconds(1500));
   fixture.cluster.store().SetMood(StoreStandin::Mood::kWell);
   fixture.ExpectAllCompletedOnce();
-  // What was refused never runs.
+  // The rejected job must never run.
   BOOST_TEST(fixture.cluster.Call("entry-1", "GET", JobId(99)).status == 410);
 }
 
@@ -202,12 +205,13 @@
   fixture.ExpectAllCompletedOnce();
 }
 
-// Guards against ends of a worker's next life under its id that are lost.
+// Guards against lost run ends of a worker that restarted under the same id.
 BOOST_AUTO_TEST_CASE(TasksOnWorkersThatKeepTheirIdRunOnce) {
   ClusterFixture fixture(2);
   fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(250));
   fixture.SubmitAll();
-  // Two of them: a task under which three have crashed may be given up.
+  // Only two workers restart, because a task may be given up after three
+  // workers crashed while running it.
   for (const char* box : {"box-1", "box-2", "box-1", "box-2"}) {
     fixture.Wait(std::chrono::milliseconds(400));
     fixture.cluster.workers().Restart(box);
@@ -238,7 +242,7 @@
   fixture.ExpectAllCompletedOnce();
 }
 
-// --- Access keys, and entries of other writers ---
+// --- Access keys and rows of other writers ---
 
 std::string KeyedConfig(int version, const std::string& key) {
   return R"({"version":)" + std::to_string(version) +
@@ -250,9 +254,9 @@
          key + R"("],"weight":9,"maxCount":{"cpu":1000000}}]})";
 }
 
-// Keys that are used, unknown, added and removed, and a configuration that
-// cannot be read, also in the store's answers: no log line or dump holds a
-// part.
+// Uses known, unknown, added and removed access keys, and malformed
+// configurations that contain a key. Guards against any fragment of a key in
+// the log.
 BOOST_AUTO_TEST_CASE(KeysComeAndGoAndStandInNoLog) {
   const platform::RowKey config{.table = "op", .part = "", .key = "config"};
   const std::vector<std::string> keys = {
@@ -281,7 +285,7 @@
   BOOST_TEST(gets_status(keys[1], 200));
   constexpr std::size_t kFragmentLength = 6;
   for (auto& [id, daemon] : fixture.cluster.daemons()) {
-    // The feed brings it to each daemon in its own time.
+    // Each daemon receives the row from its feed at a different time.
     BOOST_TEST(fixture.cluster.WaitUntil(kTimeoutSeconds, [&daemon = daemon] {
       return daemon.process->Output().find("row_malformed") !=
              std::string::npos;
@@ -321,7 +325,7 @@
 struct ShardedFixture : ClusterFixture {
   static constexpr int kShards = 2;
 
-  // Eight boxes, four of them in each shard.
+  // Eight boxes, four in each shard.
   ShardedFixture() : ClusterFixture(0, 8) {
     this->cluster.SetWorkersAnOwner(4);
     for (const char* id : {"entry-1", "entry-2", "entry-3"})
@@ -360,7 +364,7 @@
   fixture.ExpectAllCompletedOnce();
 }
 
-// One box may be away at a time, whichever owner's it is.
+// At most one box may be in maintenance at a time, across all shards.
 BOOST_AUTO_TEST_CASE(WaveOverSeveralShardsStaysWithinItsLimit) {
   ShardedFixture fixture;
   fixture.cluster.store().Put(
@@ -381,8 +385,8 @@
 struct QuotaFixture : ShardedFixture {
   static constexpr const char* kKey = "a-key";
 
-  // Daemons that have not heard of the keys take jobs of no organisation, which
-  // no quota holds: every one of them is to have heard.
+  // A daemon that has not received the keys accepts jobs without an
+  // organisation, to which no quota applies. Waits until every daemon has them.
   explicit QuotaFixture(const std::string& cpu_millis) {
     std::string config = KeyedConfig(2, kKey);
     const std::string large = "1000000";
@@ -411,8 +415,8 @@
   }
 };
 
-// A quota of four tasks, so small that its jobs go to one shard, which borrows
-// the other's share: it is not passed, also while owners are killed.
+// The quota of four tasks is so small that all jobs go to one shard, which
+// borrows the other shard's share. The quota must hold across takeovers.
 BOOST_AUTO_TEST_CASE(QuotaHoldsOverSeveralShardsAndTakeovers) {
   QuotaFixture fixture("2000");
   fixture.SubmitAll();
@@ -420,17 +424,18 @@
       kTimeoutSeconds, [&] { return fixture.cluster.workers().starts() > 8; }));
   fixture.KillOwner(0);
   fixture.ExpectAllCompletedOnce();
-  // Four by the quota, and one task that may overlap it.
+  // Four tasks by the quota, and one that may overlap.
   BOOST_TEST(fixture.cluster.workers().most_running() <= 5);
   BOOST_TEST(fixture.cluster.workers().most_running() >= 3);
 }
 
-// A quota of eight tasks whose jobs are spread over both shards: together they
-// keep within it, also while an owner is killed in the middle.
+// The jobs under a quota of eight tasks are distributed over both shards, which
+// must stay within it together, also when an owner is killed.
 BOOST_AUTO_TEST_CASE(QuotaHoldsForJobsOfBothShards) {
   constexpr int kSingleTasks = 36;
   QuotaFixture fixture("4000");
-  // Jobs come quicker than eight of them end: more than the quota waits.
+  // Jobs arrive faster than eight at a time complete, so that more jobs wait
+  // than the quota admits.
   fixture.cluster.workers().SetRunTime(std::chrono::milliseconds(1200));
   int in_shard_0 = 0;
   for (int i = 0; i < kSingleTasks; ++i) {
@@ -443,7 +448,7 @@
   BOOST_TEST(in_shard_0 < kSingleTasks);
   fixture.KillOwner(0);
   fixture.ExpectAllCompletedOnce(kSingleTasks);
-  // Eight by the quota, and one task that may overlap it.
+  // Eight tasks by the quota, and one that may overlap.
   BOOST_TEST(fixture.cluster.workers().most_running() <= 9);
   BOOST_TEST(fixture.cluster.workers().most_running() >= 6);
 }
@@ -458,7 +463,7 @@
   daemon.process->Signal(SIGHUP);
   BOOST_TEST(fixture.cluster.WaitUntil(
       kTimeoutSeconds, [&] { return log_has("settings_reloaded"); }));
-  // A change without a signal is noticed too; a bad one changes nothing.
+  // A change without a signal is detected too; an invalid file has no effect.
   std::ofstream(daemon.settings, std::ios::app) << "graze_seconds = 5\n";
   BOOST_TEST(fixture.cluster.WaitUntil(
       kTimeoutSeconds, [&] { return log_has("[limits] graze_seconds"); }));
