--- a/daemon/daemon_main.cc
+++ b/daemon/daemon_main.cc
@@ -1,4 +1,4 @@
-// quartzhoistd: one process of the system, the same on every entry box.
+// Entry point of quartzhoistd, the daemon that runs on every entry box.
 
 #include <csignal>
 #include <cstdio>
@@ -34,11 +34,11 @@
 int Main(int argc, char** argv) {
   cxxopts::Options options(
       "quartzhoistd",
-      "The daemon of an entry box: takes jobs, runs their tasks on leased "
+      "Daemon of an entry box: accepts jobs, runs their tasks on leased "
       "workers, and moves boxes between pools.");
   options.add_options()("settings", "INI file with the settings",
                         cxxopts::value<std::string>(), "FILE")(
-      "check", "Check the settings and end")("h,help", "Show this help");
+      "check", "Check the settings and exit")("h,help", "Show this help");
   std::string file;
   bool only_check = false;
   try {
@@ -52,7 +52,7 @@
     }
     if (given.count("settings") == 0) {
       fmt::print(stderr,
-                 "quartzhoistd: --settings FILE is needed; see "
+                 "quartzhoistd: --settings FILE is required; see "
                  "--help\n");
       return kExitUsage;
     }
