--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -32,10 +32,10 @@
 
 http::ServerOptions ServerOptionsFor(const std::string& address,
                                      std::int64_t max_connections) {
-  const auto at = base::ParseIpAddress(address);
+  const auto parsed = base::ParseIpAddress(address);
   http::ServerOptions options;
-  options.address = at->ip;
-  options.port = at->port;
+  options.address = parsed->ip;
+  options.port = parsed->port;
   options.max_connections = static_cast<unsigned>(max_connections);
   return options;
 }
@@ -54,8 +54,8 @@
 constexpr base::Micros kReloadPeriod = std::chrono::seconds(2);
 
 std::filesystem::file_time_type ModificationTime(const std::string& file) {
-  std::error_code unknown;
-  return std::filesystem::last_write_time(file, unknown);
+  std::error_code error;
+  return std::filesystem::last_write_time(file, error);
 }
 
 std::uint64_t MakeSeed(const std::string& id) {
@@ -165,9 +165,9 @@
           .on_store_answered =
               [this] { this->last_store_answer = base::MonotonicNow(); }});
   this->callers.SetShards(
-      shards, [this](const jobs::Config& now, const jobs::Queue& queue,
-                     const jobs::JobSpec& job) {
-        return this->shard_choice.Choose(now, queue, job,
+      shards, [this](const jobs::Config& current_config,
+                     const jobs::Queue& queue, const jobs::JobSpec& job) {
+        return this->shard_choice.Choose(current_config, queue, job,
                                          this->ownerships->Loads());
       });
   // The stop signal arrived before the shards were known.
