--- a/entry/caller_api.cc
+++ b/entry/caller_api.cc
@@ -221,7 +221,7 @@
 void CallerApi::ReadProgress(
     const http::ExchangePtr& exchange,
     const std::string& job,
-    std::function<void(const KeptProgress& stored)> on_found) {
+    std::function<void(const ProgressRecord& stored)> on_found) {
   const platform::RowKey at = ProgressRow(job);
   const platform::ReadQuery query{
       .table = at.table, .part = at.part, .from = job, .to = {}, .limit = 1};
@@ -236,7 +236,7 @@
       this->Refuse(exchange, kGone, job, "there is no such job");
       return;
     }
-    const auto stored = DecodeKept(result->rows.front().value);
+    const auto stored = DecodeProgressRecord(result->rows.front().value);
     if (!stored) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
       this->Refuse(exchange, kServiceUnavailable, job,
@@ -250,7 +250,7 @@
 void CallerApi::AnswerState(const http::ExchangePtr& exchange,
                             const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& stored) {
+      exchange, job, [this, exchange, job](const ProgressRecord& stored) {
         const auto progress = jobs::DecodeProgress(stored.text);
         if (!progress) {
           base::Log(base::Event::kRowMalformed, {{"row", job}});
@@ -266,7 +266,7 @@
 void CallerApi::Cancel(const http::ExchangePtr& exchange,
                        const std::string& job) {
   this->ReadProgress(
-      exchange, job, [this, exchange, job](const KeptProgress& stored) {
+      exchange, job, [this, exchange, job](const ProgressRecord& stored) {
         const Shard shard{.number = stored.shard, .count = this->shards};
         this->WriteCancel({.exchange = exchange,
                            .job = job,
@@ -306,7 +306,7 @@
 void CallerApi::AnswerCount(const http::ExchangePtr& exchange,
                             const std::string& queue) {
   platform::ReadTable(
-      this->store, std::string(kCountTable), {CountRow({}).part},
+      this->store, std::string(kQueueLengthTable), {QueueLengthRow({}).part},
       [this, exchange,
        queue](const std::optional<platform::TableContent>& content) {
         if (!content) {
@@ -317,7 +317,7 @@
         // A new queue has no count yet and counts as 0.
         std::int64_t count = 0;
         for (const platform::Row& row : content->rows)
-          count += CountOf(row.value, queue);
+          count += QueueLengthOf(row.value, queue);
         this->Reply(exchange,
                     http::JsonResponse(kOk, platform::CountBody(count)));
       });
--- a/entry/caller_api.h
+++ b/entry/caller_api.h
@@ -97,7 +97,7 @@
   void RetryWrites();
   void ReadProgress(const http::ExchangePtr& exchange,
                     const std::string& job,
-                    std::function<void(const KeptProgress& stored)> on_found);
+                    std::function<void(const ProgressRecord& stored)> on_found);
   void AnswerState(const http::ExchangePtr& exchange, const std::string& job);
   void Cancel(const http::ExchangePtr& exchange, const std::string& job);
   void WriteCancel(const Cancellation& cancel);
--- a/entry/caller_api_test.cc
+++ b/entry/caller_api_test.cc
@@ -236,8 +236,9 @@
   CallerBench bench;
   jobs::Progress progress;
   progress.state = jobs::JobState::kCompleted;
-  bench.standin.Put(ProgressRow(kJobId),
-                    EncodeKept({.text = jobs::EncodeProgress(progress)}));
+  bench.standin.Put(
+      ProgressRow(kJobId),
+      EncodeProgressRecord({.text = jobs::EncodeProgress(progress)}));
   BOOST_TEST(bench.Call("POST", kJobPath, kBody).status == 200);
   BOOST_TEST(bench.standin.Value(JobRow(kJobId, {})).empty());
   BOOST_TEST(bench.Call("GET", kJobPath).body == R"({"state":"completed"})");
@@ -383,7 +384,7 @@
 BOOST_AUTO_TEST_CASE(CountsComeFromTheStore) {
   CallerBench bench;
   BOOST_TEST(bench.Call("GET", "/p/").body == R"({"pending":0})");
-  bench.standin.Put(CountRow({}), EncodeCounts({{"q", 12}}));
+  bench.standin.Put(QueueLengthRow({}), EncodeQueueLengths({{"q", 12}}));
   BOOST_TEST(bench.Call("GET", "/p/").body == R"({"pending":12})");
 }
 
--- a/entry/decision_log.h
+++ b/entry/decision_log.h
@@ -1,4 +1,4 @@
-// Log lines of what the scheduler decided or found out.
+// Logs the decisions and findings that the scheduler returns among its actions.
 
 #ifndef ENTRY_DECISION_LOG_H_
 #define ENTRY_DECISION_LOG_H_
@@ -7,11 +7,11 @@
 
 namespace quartzhoist::entry {
 
-void LogJobOver(const scheduler::JobFinished& over);
+void LogJobFinished(const scheduler::JobFinished& finished);
 void LogTaskGivenUp(const scheduler::TaskGivenUp& given_up);
 void LogWorkerLost(const scheduler::WorkerLost& lost);
 void LogWorkerRestarted(const scheduler::WorkerRestarted& restarted);
-void LogEndSkipped(const scheduler::RunEndIgnored& skipped);
+void LogRunEndIgnored(const scheduler::RunEndIgnored& ignored);
 void LogNote(const scheduler::LogNote& note);
 
 }  // namespace quartzhoist::entry
--- a/entry/job_daemon.h
+++ b/entry/job_daemon.h
@@ -1,5 +1,6 @@
-// The daemon of an entry box that takes jobs: callers' interface, readiness,
-// metrics, and the ownerships with what an owner does. One loop, one thread.
+// The daemon of an entry box: the callers' interface, readiness and metrics
+// endpoints, and a manager for each shard it owns. Runs an event loop on a
+// single thread.
 
 #ifndef ENTRY_JOB_DAEMON_H_
 #define ENTRY_JOB_DAEMON_H_
@@ -27,36 +28,39 @@
 
 class JobDaemon {
  public:
-  // Throws std::runtime_error if an address cannot be listened on.
-  // `file` is read again at SIGHUP and whenever it changes.
+  // Throws std::runtime_error if it cannot listen on an address. The settings
+  // `file` is reloaded on SIGHUP and whenever it changes.
   JobDaemon(const Settings& settings, std::string file);
 
   // Returns after a stop signal.
   void Run();
 
  private:
-  // A shard's manager, while this daemon owns the shard. It is destroyed
-  // outside its own calls.
+  // A shard and its manager, which exists while this daemon owns the shard. A
+  // timer destroys the manager, since it must not be destroyed during a call of
+  // its own.
   struct ManagedShard {
     explicit ManagedShard(base::Loop& loop)
-        : end(loop, [this] { this->manager.reset(); }) {}
+        : destroy_timer(loop, [this] { this->manager.reset(); }) {}
 
     std::unique_ptr<Manager> manager;
-    base::Timer end;
+    base::Timer destroy_timer;
   };
 
   void Reload();
   void ReloadIfChanged();
-  void TakeOperatorRow(const platform::Row& row);
-  void Begin(int shards, std::uint64_t seed);
-  void Gained(int shard, std::uint64_t epoch, base::Micros earlier_confirmed);
-  ManagedShard& At(int shard) const;
+  void ApplyOperatorRow(const platform::Row& row);
+  void StartOwnerships(int shards, std::uint64_t seed);
+  void OnOwnershipGained(int shard,
+                         std::uint64_t epoch,
+                         base::Micros earlier_confirmed);
+  ManagedShard& ManagedShardAt(int shard) const;
   ShardLoad LoadOf(int shard) const;
   base::Micros OrdersUntil(int shard) const;
   base::Micros CertainUntil(int shard) const;
-  void Lost(int shard);
+  void OnOwnershipLost(int shard);
   void Stop();
-  void TryToEnd();
+  void ExitIfDrained();
   void AnswerReadiness(const http::ExchangePtr& exchange) const;
   void AnswerMetrics(const http::ExchangePtr& exchange) const;
   bool IsReady() const;
@@ -76,13 +80,13 @@
   bool has_config = false;
   jobs::Config config;
   std::map<int, scheduler::Wave> waves;
-  base::Micros store_answered{};
-  base::Micros stop_asked{};  // 0: none yet
-  std::vector<std::unique_ptr<ManagedShard>> by_shard;
-  std::unique_ptr<Ownerships> ownerships;  // once the shards are known
-  std::unique_ptr<ShardCountResolver> plan;
-  ShardSelector choice;
-  std::unique_ptr<platform::TableFollower> operators;
+  base::Micros last_store_answer{};
+  base::Micros stop_requested{};  // time of the stop signal; 0 before it
+  std::vector<std::unique_ptr<ManagedShard>> managed_shards;
+  std::unique_ptr<Ownerships> ownerships;  // null until the shards are known
+  std::unique_ptr<ShardCountResolver> shard_plan;
+  ShardSelector shard_choice;
+  std::unique_ptr<platform::TableFollower> operator_follower;
   base::Timer stop_timer;
   base::SignalWatcher stop_signal;
   base::SignalWatcher interrupt_signal;
--- a/entry/ownership.cc
+++ b/entry/ownership.cc
@@ -110,7 +110,7 @@
 base::Micros Ownership::DrawTakeoverJitter() {
   const bool is_free = this->version == 0 || this->record.holder.empty();
   const std::int64_t spread =
-      is_free ? kFreeSpreadMillis : kTakeoverJitterMillis;
+      is_free ? kClaimJitterMillis : kTakeoverJitterMillis;
   return milliseconds(this->random() % spread);
 }
 
@@ -119,7 +119,7 @@
 base::Micros Ownership::TakeoverDelay() const {
   const double cores = this->events.cores();
   if (this->version == 0)
-    return FirstWait(cores) + this->takeover_jitter;
+    return FirstClaimDelay(cores) + this->takeover_jitter;
   const bool is_weak = this->record.cores > kMuchStrongerFactor * cores;
   return this->takeover_jitter +
          (is_weak ? kWeakerBoxDelay : base::Micros::zero());
--- a/entry/ownerships.cc
+++ b/entry/ownerships.cc
@@ -47,7 +47,7 @@
       follower(loop,
                store,
                std::string(kOwnerTable),
-               SmallParts(kOwnerTable, shards),
+               ShardParts(kOwnerTable, shards),
                this->Feed(),
                PaceFor(store, shards)) {
   for (int shard = 0; shard < shards; ++shard) {
--- a/entry/quota_records.cc
+++ b/entry/quota_records.cc
@@ -122,7 +122,7 @@
 }
 
 void QuotaRecords::Write(const QuotaShares::Write& wanted) {
-  const platform::RowKey row = QuotaRowOf(wanted.organisation);
+  const platform::RowKey row = OrganisationQuotaRow(wanted.organisation);
   const platform::WriteBatch write{
       .conditions = {{.at = QuotaOwnerRow(this->shard),
                       .version = this->claim_version},
--- a/entry/shard_count_resolver.cc
+++ b/entry/shard_count_resolver.cc
@@ -22,7 +22,7 @@
 
 base::Micros CountDelay(double cores, std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  return FirstWait(cores) + milliseconds(random() % kFreeSpreadMillis);
+  return FirstClaimDelay(cores) + milliseconds(random() % kClaimJitterMillis);
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
 
 void ShardCountResolver::ReadCountRow() {
   platform::ReadTable(
-      this->store, std::string(kShardTable), {ShardRow().part},
+      this->store, std::string(kShardCountTable), {ShardCountRow().part},
       [this, is_alive = this->alive](
           const std::optional<platform::TableContent>& content) {
         if (*is_alive)
@@ -64,7 +64,7 @@
     return;
   for (const platform::Row& row : content->rows) {
     const std::optional<int> count = DecodeShardCount(row.value);
-    if (row.at == ShardRow() && count) {
+    if (row.at == ShardCountRow() && count) {
       this->Resolve(*count);
       return;
     }
@@ -105,8 +105,8 @@
 // read.
 void ShardCountResolver::WriteCount(int count) {
   const platform::WriteBatch batch{
-      .conditions = {{.at = ShardRow(), .version = 0}},
-      .puts = {{.at = ShardRow(), .value = EncodeShardCount(count)}},
+      .conditions = {{.at = ShardCountRow(), .version = 0}},
+      .puts = {{.at = ShardCountRow(), .value = EncodeShardCount(count)}},
       .removes = {}};
   this->store.Write(batch, [this, count, is_alive = this->alive](
                                const platform::WriteResult& result) {
