--- a/entry/box_calls.cc
+++ b/entry/box_calls.cc
@@ -13,11 +13,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr base::Micros kAgain = milliseconds(200);
+constexpr base::Micros kRetryDelay = milliseconds(200);
 // What is settled is removed with the next call that is recorded, or after
 // this, so that a height of moves costs a write for each plan and not two. A
 // moved box serves again after 1.5 s (move_s): nothing runs on it before.
-constexpr base::Micros kRemoveAfter = milliseconds(500);
+constexpr base::Micros kRemovalDelay = milliseconds(500);
 
 std::string BoxOf(const scheduler::BoxCall& call) {
   return std::visit([](const auto& one) { return one.box; }, call);
@@ -25,27 +25,27 @@
 
 }  // namespace
 
-BoxCalls::BoxCalls(platform::Store& on,
+BoxCalls::BoxCalls(platform::Store& store,
                    const Shard& shard,
-                   std::uint64_t own_epoch,
-                   Events handlers)
-    : store(on),
+                   std::uint64_t epoch,
+                   Events events)
+    : store(store),
       row(SmallRow(kBoxTable, kBoxKey, shard)),
-      epoch(own_epoch),
-      events(std::move(handlers)),
+      epoch(epoch),
+      events(std::move(events)),
       alive(std::make_shared<bool>(true)) {}
 
 BoxCalls::~BoxCalls() {
   *this->alive = false;
 }
 
-void BoxCalls::Ask(const scheduler::BoxCall& call) {
-  this->waiting[BoxOf(call)] = call;
+void BoxCalls::Add(const scheduler::BoxCall& call) {
+  this->pending[BoxOf(call)] = call;
 }
 
-void BoxCalls::Act(const std::function<bool(const std::string& box)>& is_open,
-                   base::Micros now) {
-  if (this->busy || now < this->next_try)
+void BoxCalls::Sync(const std::function<bool(const std::string& box)>& is_open,
+                    base::Micros now) {
+  if (this->store_call_in_flight || now < this->next_attempt)
     return;
   if (!this->has_read) {
     this->Read();
@@ -55,37 +55,38 @@
     this->Claim();
     return;
   }
-  const auto settled = std::erase_if(
+  const auto settled_count = std::erase_if(
       this->recorded,
       [&is_open](const auto& entry) { return !is_open(entry.first); });
-  if (settled > 0 && !this->is_stale) {
-    this->is_stale = true;
-    this->next_removal = now + kRemoveAfter;
+  if (settled_count > 0 && !this->row_has_settled_calls) {
+    this->row_has_settled_calls = true;
+    this->next_removal = now + kRemovalDelay;
   }
-  if (!this->waiting.empty() || (this->is_stale && now >= this->next_removal))
+  if (!this->pending.empty() ||
+      (this->row_has_settled_calls && now >= this->next_removal))
     this->Record();
 }
 
 void BoxCalls::Read() {
-  this->busy = true;
+  this->store_call_in_flight = true;
   const platform::ReadQuery query{.table = this->row.table,
                                   .part = this->row.part,
                                   .from = this->row.key,
                                   .to = {},
                                   .limit = 1};
   this->store.Read(
-      query, [this, lives = this->alive](
+      query, [this, alive = this->alive](
                  const std::optional<platform::ReadResult>& result) {
-        if (!*lives)
+        if (!*alive)
           return;
-        this->busy = false;
+        this->store_call_in_flight = false;
         if (!result) {
-          this->next_try = base::MonotonicNow() + kAgain;
+          this->next_attempt = base::MonotonicNow() + kRetryDelay;
           return;
         }
         this->has_read = true;
         for (const platform::Row& found : result->rows) {
-          if (found.at.key == this->row.key && !this->TakeRow(found)) {
+          if (found.at.key == this->row.key && !this->LoadRow(found)) {
             this->events.on_fenced();
             return;
           }
@@ -97,19 +98,19 @@
 // An earlier owner's write that is still on its way does not fit any more.
 void BoxCalls::Claim() {
   this->Write(this->recorded, [this](const platform::WriteResult& result) {
-    this->TakeClaim(result);
+    this->HandleClaimResult(result);
   });
 }
 
-void BoxCalls::TakeClaim(const platform::WriteResult& result) {
+void BoxCalls::HandleClaimResult(const platform::WriteResult& result) {
   switch (result.outcome) {
     case platform::WriteOutcome::kDone:
-      this->Claimed(result.version);
+      this->FinishClaim(result.version);
       return;
     case platform::WriteOutcome::kConflict:
       if (const platform::Row* own = this->FindOwnWrite(result))
-        this->Claimed(own->version);
-      else if (!result.rows.empty() && !this->TakeRow(result.rows.front()))
+        this->FinishClaim(own->version);
+      else if (!result.rows.empty() && !this->LoadRow(result.rows.front()))
         this->events.on_fenced();
       else
         this->Claim();
@@ -120,13 +121,13 @@
       return;
     case platform::WriteOutcome::kNotDone:
     case platform::WriteOutcome::kRefused:
-      this->next_try = base::MonotonicNow() + kAgain;
+      this->next_attempt = base::MonotonicNow() + kRetryDelay;
       return;
   }
 }
 
-void BoxCalls::Claimed(std::uint64_t at) {
-  this->version = at;
+void BoxCalls::FinishClaim(std::uint64_t row_version) {
+  this->version = row_version;
   this->is_claimed = true;
   std::vector<scheduler::BoxCall> calls;
   for (const auto& [box, call] : this->recorded)
@@ -137,33 +138,33 @@
 // The write that was in the way is the one that was made, with its answer lost.
 const platform::Row* BoxCalls::FindOwnWrite(
     const platform::WriteResult& result) const {
-  const bool is_own =
-      !result.rows.empty() && result.rows.front().value == this->written_text;
+  const bool is_own = !result.rows.empty() &&
+                      result.rows.front().value == this->last_written_value;
   return is_own ? &result.rows.front() : nullptr;
 }
 
 void BoxCalls::Record() {
-  this->writing = std::exchange(this->waiting, {});
+  this->being_written = std::exchange(this->pending, {});
   CallsByBox calls = this->recorded;
-  for (const auto& [box, call] : this->writing)
+  for (const auto& [box, call] : this->being_written)
     calls[box] = call;
   this->Write(calls, [this](const platform::WriteResult& result) {
-    this->TakeRecorded(result);
+    this->HandleRecordResult(result);
   });
 }
 
-void BoxCalls::TakeRecorded(const platform::WriteResult& result) {
-  CallsByBox written = std::exchange(this->writing, {});
+void BoxCalls::HandleRecordResult(const platform::WriteResult& result) {
+  CallsByBox written = std::exchange(this->being_written, {});
   switch (result.outcome) {
     case platform::WriteOutcome::kDone:
-      this->Recorded(written, result.version);
+      this->FinishRecord(written, result.version);
       return;
     case platform::WriteOutcome::kConflict:
       if (const platform::Row* own = this->FindOwnWrite(result)) {
-        this->Recorded(written, own->version);
+        this->FinishRecord(written, own->version);
         return;
       }
-      if (!result.rows.empty() && !this->TakeRow(result.rows.front())) {
+      if (!result.rows.empty() && !this->LoadRow(result.rows.front())) {
         this->events.on_fenced();
         return;
       }
@@ -172,27 +173,28 @@
       // The wait for its answer was long enough.
       break;
     case platform::WriteOutcome::kNotDone:
-      this->next_try = base::MonotonicNow() + kAgain;
+      this->next_attempt = base::MonotonicNow() + kRetryDelay;
       break;
     case platform::WriteOutcome::kRefused:
-      this->next_try = base::MonotonicNow() + kAgain;
+      this->next_attempt = base::MonotonicNow() + kRetryDelay;
       for (const auto& [box, call] : written)
-        this->events.on_refused(call);
+        this->events.on_rejected(call);
       return;
   }
-  this->waiting.merge(written);
+  this->pending.merge(written);
 }
 
-void BoxCalls::Recorded(const CallsByBox& written, std::uint64_t at) {
-  this->version = at;
-  this->is_stale = false;
+void BoxCalls::FinishRecord(const CallsByBox& written,
+                            std::uint64_t row_version) {
+  this->version = row_version;
+  this->row_has_settled_calls = false;
   for (const auto& [box, call] : written) {
     this->recorded[box] = call;
     this->events.on_recorded(call);
   }
 }
 
-bool BoxCalls::TakeRow(const platform::Row& found) {
+bool BoxCalls::LoadRow(const platform::Row& found) {
   // A row that cannot be read is written anew, under its version.
   this->version = found.version;
   const auto record = DecodeBoxCalls(found.value);
@@ -216,17 +218,17 @@
   BoxCallRecord record{.epoch = this->epoch, .calls = {}};
   for (const auto& [box, call] : calls)
     record.calls.push_back(call);
-  this->written_text = EncodeBoxCalls(record);
+  this->last_written_value = EncodeBoxCalls(record);
   const platform::WriteBatch write{
       .conditions = {{.at = this->row, .version = this->version}},
-      .puts = {{.at = this->row, .value = this->written_text}},
+      .puts = {{.at = this->row, .value = this->last_written_value}},
       .removes = {}};
-  this->busy = true;
-  this->store.Write(write, [this, done = std::move(done), lives = this->alive](
+  this->store_call_in_flight = true;
+  this->store.Write(write, [this, done = std::move(done), alive = this->alive](
                                const platform::WriteResult& result) {
-    if (!*lives)
+    if (!*alive)
       return;
-    this->busy = false;
+    this->store_call_in_flight = false;
     done(result);
   });
 }
--- a/entry/box_calls.h
+++ b/entry/box_calls.h
@@ -28,7 +28,7 @@
     // The call is recorded and may be made.
     std::function<void(const scheduler::BoxCall&)> on_recorded;
     // It cannot be recorded, and must not be made.
-    std::function<void(const scheduler::BoxCall&)> on_refused;
+    std::function<void(const scheduler::BoxCall&)> on_rejected;
     // A later owner has claimed the row.
     std::function<void()> on_fenced;
   };
@@ -43,25 +43,25 @@
 
   bool claimed() const { return this->is_claimed; }
   // To be recorded with the next write. One call a box at a time.
-  void Ask(const scheduler::BoxCall& call);
+  void Add(const scheduler::BoxCall& call);
   // Claims the row, records what waits, removes what is not open any more: its
   // outcome is known, and a later owner need not know of it.
-  void Act(const std::function<bool(const std::string& box)>& is_open,
-           base::Micros now);
+  void Sync(const std::function<bool(const std::string& box)>& is_open,
+            base::Micros now);
 
  private:
   using CallsByBox = std::map<std::string, scheduler::BoxCall>;
 
   void Read();
   void Claim();
-  void TakeClaim(const platform::WriteResult& result);
-  void Claimed(std::uint64_t at);
+  void HandleClaimResult(const platform::WriteResult& result);
+  void FinishClaim(std::uint64_t row_version);
   const platform::Row* FindOwnWrite(const platform::WriteResult& result) const;
   void Record();
-  void TakeRecorded(const platform::WriteResult& result);
-  void Recorded(const CallsByBox& written, std::uint64_t at);
+  void HandleRecordResult(const platform::WriteResult& result);
+  void FinishRecord(const CallsByBox& written, std::uint64_t row_version);
   // False if the row is a later owner's.
-  bool TakeRow(const platform::Row& row);
+  bool LoadRow(const platform::Row& row);
   void Write(const CallsByBox& calls,
              std::function<void(const platform::WriteResult&)> done);
 
@@ -70,15 +70,15 @@
   std::uint64_t epoch;
   Events events;
   bool is_claimed = false;
-  bool busy = false;  // a call to the store is on its way
+  bool store_call_in_flight = false;  // a call to the store is on its way
   bool has_read = false;
   std::uint64_t version = 0;
-  std::string written_text;  // of the last write
-  CallsByBox waiting;        // to be recorded
-  CallsByBox writing;        // of them, with the write on its way
-  CallsByBox recorded;       // the earlier owners' among them, and not settled
-  bool is_stale = false;     // the row names some that are settled
-  base::Micros next_try{};
+  std::string last_written_value;  // of the last write
+  CallsByBox pending;              // to be recorded
+  CallsByBox being_written;        // of them, with the write on its way
+  CallsByBox recorded;  // the earlier owners' among them, and not settled
+  bool row_has_settled_calls = false;  // the row names some that are settled
+  base::Micros next_attempt{};
   base::Micros next_removal{};
   // Calls still on their way when this is destroyed find it unset.
   std::shared_ptr<bool> alive;
--- a/entry/box_calls_test.cc
+++ b/entry/box_calls_test.cc
@@ -24,39 +24,40 @@
 
 // An owner of the only shard, and what it was told.
 struct Owner {
-  Owner(StoreBench& on, std::uint64_t epoch)
-      : bench(on),
-        calls(on.store,
+  Owner(StoreBench& store_bench, std::uint64_t epoch)
+      : bench(store_bench),
+        calls(store_bench.store,
               {},
               epoch,
               {.on_claimed =
-                   [this](const std::vector<scheduler::BoxCall>& found) {
-                     for (const scheduler::BoxCall& call : found)
+                   [this](const std::vector<scheduler::BoxCall>& open_calls) {
+                     for (const scheduler::BoxCall& call : open_calls)
                        this->inherited.push_back(BoxOf(call));
                    },
                .on_recorded =
                    [this](const scheduler::BoxCall& call) {
                      this->recorded.push_back(BoxOf(call));
                    },
-               .on_refused =
+               .on_rejected =
                    [this](const scheduler::BoxCall& call) {
-                     this->refused.push_back(BoxOf(call));
+                     this->rejected.push_back(BoxOf(call));
                    },
                .on_fenced = [this] { this->fenced = true; }}) {}
 
-  // Acts until this holds; false if it does not within some seconds.
-  bool ActUntil(const std::function<bool()>& holds) {
+  // Acts until this condition; false if it does not within some seconds.
+  bool SyncUntil(const std::function<bool()>& condition) {
     return this->bench.Within(seconds(5), [&] {
-      this->calls.Act([this](const std::string&) { return this->is_open; },
-                      base::MonotonicNow());
-      return holds();
+      this->calls.Sync(
+          [this](const std::string&) { return this->calls_are_open; },
+          base::MonotonicNow());
+      return condition();
     });
   }
-  bool Claims() {
-    return this->ActUntil([this] { return this->calls.claimed(); });
+  bool ClaimsRow() {
+    return this->SyncUntil([this] { return this->calls.claimed(); });
   }
-  bool Records(std::size_t count) {
-    return this->ActUntil(
+  bool RecordsCalls(std::size_t count) {
+    return this->SyncUntil(
         [this, count] { return this->recorded.size() == count; });
   }
 
@@ -64,50 +65,50 @@
   BoxCalls calls;
   std::vector<std::string> inherited;
   std::vector<std::string> recorded;
-  std::vector<std::string> refused;
+  std::vector<std::string> rejected;
   bool fenced = false;
-  bool is_open = true;  // no call's outcome is known
+  bool calls_are_open = true;  // no call's outcome is known
 };
 
-const std::vector<std::string> kBoth = {"a", "b"};
+const std::vector<std::string> kBothBoxes = {"a", "b"};
 
 }  // namespace
 
 // The first owner stands still with two calls under way: the next one knows
 // both, and the first records, and so makes, no further one.
-BOOST_AUTO_TEST_CASE(CallsUnderWayReachTheNextOwner) {
+BOOST_AUTO_TEST_CASE(PendingCallsAreInheritedByNextOwner) {
   StoreBench bench;
   Owner first(bench, 1);
-  BOOST_REQUIRE(first.Claims());
+  BOOST_REQUIRE(first.ClaimsRow());
   BOOST_TEST(first.inherited.empty());
-  first.calls.Ask(
+  first.calls.Add(
       scheduler::MoveBox{.box = "a", .pool = "pool", .life = {.id = "a-1"}});
-  first.calls.Ask(
+  first.calls.Add(
       scheduler::MaintainBox{.box = "b", .wave = 7, .life = {.id = "b-1"}});
-  BOOST_REQUIRE(first.Records(2));
+  BOOST_REQUIRE(first.RecordsCalls(2));
   Owner next(bench, 2);
-  BOOST_REQUIRE(next.Claims());
-  BOOST_TEST(next.inherited == kBoth);
-  first.calls.Ask(
+  BOOST_REQUIRE(next.ClaimsRow());
+  BOOST_TEST(next.inherited == kBothBoxes);
+  first.calls.Add(
       scheduler::MaintainBox{.box = "c", .wave = 7, .life = {.id = "c-1"}});
-  BOOST_TEST(first.ActUntil([&] { return first.fenced; }));
+  BOOST_TEST(first.SyncUntil([&] { return first.fenced; }));
   BOOST_TEST(first.recorded.size() == 2U);
   // The third knows what the second has not settled.
   Owner third(bench, 3);
-  BOOST_REQUIRE(third.Claims());
-  BOOST_TEST(third.inherited == kBoth);
+  BOOST_REQUIRE(third.ClaimsRow());
+  BOOST_TEST(third.inherited == kBothBoxes);
 }
 
 // A call whose outcome is known leaves the row.
 BOOST_AUTO_TEST_CASE(SettledCallsAreNotInherited) {
   StoreBench bench;
   Owner first(bench, 1);
-  BOOST_REQUIRE(first.Claims());
-  first.calls.Ask(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
-  BOOST_REQUIRE(first.Records(1));
-  first.is_open = false;
+  BOOST_REQUIRE(first.ClaimsRow());
+  first.calls.Add(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
+  BOOST_REQUIRE(first.RecordsCalls(1));
+  first.calls_are_open = false;
   const platform::RowKey row = SmallRow(kBoxTable, kBoxKey, {});
-  BOOST_TEST(first.ActUntil([&] {
+  BOOST_TEST(first.SyncUntil([&] {
     const auto record = DecodeBoxCalls(bench.standin.Value(row));
     return record && record->calls.empty();
   }));
@@ -115,36 +116,36 @@
 
 // Answers of the store are lost and refused: each call is made once, after its
 // record.
-BOOST_AUTO_TEST_CASE(CallIsMadeOnceWhateverBecomesOfTheWrite) {
+BOOST_AUTO_TEST_CASE(CallIsReleasedOnceDespiteFailedWrites) {
   using Mood = StoreStandin::Mood;
   StoreBench bench;
   Owner owner(bench, 1);
-  BOOST_REQUIRE(owner.Claims());
+  BOOST_REQUIRE(owner.ClaimsRow());
   bench.standin.SetNextWrites(
       {Mood::kLosesAnswers, Mood::kBusy, Mood::kCuts, Mood::kLosesAnswers});
-  owner.calls.Ask(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
-  owner.calls.Ask(scheduler::MoveBox{.box = "b", .pool = "pool", .life = {}});
-  BOOST_TEST(owner.Records(2));
-  BOOST_TEST(owner.recorded == kBoth);
+  owner.calls.Add(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
+  owner.calls.Add(scheduler::MoveBox{.box = "b", .pool = "pool", .life = {}});
+  BOOST_TEST(owner.RecordsCalls(2));
+  BOOST_TEST(owner.recorded == kBothBoxes);
   BOOST_TEST(!owner.fenced);
 }
 
 // Every write is made and none is answered: the row tells what was made.
-BOOST_AUTO_TEST_CASE(RowTellsWhatLostAnswersDoNot) {
+BOOST_AUTO_TEST_CASE(WriteWithLostAnswerIsFoundInConflictingRow) {
   StoreBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
   Owner owner(bench, 1);
-  BOOST_REQUIRE(owner.Claims());
-  owner.calls.Ask(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
-  BOOST_TEST(owner.Records(1));
+  BOOST_REQUIRE(owner.ClaimsRow());
+  owner.calls.Add(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
+  BOOST_TEST(owner.RecordsCalls(1));
 }
 
 // A row that cannot be read is written anew, and claimed.
-BOOST_AUTO_TEST_CASE(RowThatCannotBeReadIsClaimed) {
+BOOST_AUTO_TEST_CASE(MalformedRowIsClaimed) {
   StoreBench bench;
   bench.standin.Put(SmallRow(kBoxTable, kBoxKey, {}), "{\"epoch\":[]");
   Owner owner(bench, 4);
-  BOOST_TEST(owner.Claims());
+  BOOST_TEST(owner.ClaimsRow());
   BOOST_TEST(owner.inherited.empty());
 }
 
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -297,10 +297,10 @@
       manager.Ask(ask);
     }
     void operator()(const scheduler::MoveBox& order) const {
-      manager.box_calls.Ask(order);
+      manager.box_calls.Add(order);
     }
     void operator()(const scheduler::MaintainBox& order) const {
-      manager.box_calls.Ask(order);
+      manager.box_calls.Add(order);
     }
     void operator()(const scheduler::ReportWave& report) const {
       manager.waves.Report(report);
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -26,7 +26,7 @@
                 std::visit([this](const auto& one) { this->SendBox(one); },
                            call);
               },
-          .on_refused =
+          .on_rejected =
               [this](const scheduler::BoxCall& call) {
                 struct Visitor {
                   scheduler::Scheduler& scheduler;
@@ -48,7 +48,7 @@
 }
 
 void Manager::RecordBoxCalls() {
-  this->box_calls.Act(
+  this->box_calls.Sync(
       [this](const std::string& box) {
         return this->scheduler.HasOpenBoxCall(box);
       },
