--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -151,7 +151,7 @@
               [this](int shard, base::Micros asked) {
                 ManagedShard& one = this->At(shard);
                 if (one.manager)
-                  one.manager->Confirmed(asked);
+                  one.manager->OwnershipConfirmed(asked);
               },
           .load = [this](int shard) { return this->LoadOf(shard); },
           .on_store_answered =
@@ -228,12 +228,12 @@
                        base::Micros earlier_confirmed) {
   ManagedShard& one = this->At(shard);
   one.end.Stop();
-  one.manager = std::make_unique<Manager>(
+  one.manager = std::make_unique<ShardManager>(
       this->loop, this->store, this->counters, this->settings,
       Shard{.number = shard, .count = static_cast<int>(this->by_shard.size())},
       epoch, earlier_confirmed,
-      Manager::Authority{
-          .orders_until = [this, shard] { return this->OrdersUntil(shard); },
+      ShardManager::Authority{
+          .commands_until = [this, shard] { return this->OrdersUntil(shard); },
           .certain_until = [this, shard] { return this->CertainUntil(shard); },
           .on_fenced = [this,
                         shard] { this->ownerships->At(shard).Fenced(); }});
--- a/entry/job_daemon.h
+++ b/entry/job_daemon.h
@@ -41,7 +41,7 @@
     explicit ManagedShard(base::Loop& loop)
         : end(loop, [this] { this->manager.reset(); }) {}
 
-    std::unique_ptr<Manager> manager;
+    std::unique_ptr<ShardManager> manager;
     base::Timer end;
   };
 
--- a/entry/manager.h
+++ b/entry/manager.h
@@ -35,12 +35,12 @@
 
 namespace quartzhoist::entry {
 
-class Manager {
+class ShardManager {
  public:
   // What the ownership allows, and how the manager tells that it is over.
   struct Authority {
     // Orders to workers may leave before this.
-    std::function<base::Micros()> orders_until;
+    std::function<base::Micros()> commands_until;
     // Nobody else takes over before this: calls for boxes may leave.
     std::function<base::Micros()> certain_until;
     // A worker or the platform has seen a higher epoch.
@@ -48,21 +48,21 @@
   };
 
   // No owner before this one was confirmed after `earlier_confirmed`.
-  Manager(base::Loop& loop,
-          platform::Store& store,
-          base::Counters& counters,
-          const Settings& settings,
-          const Shard& shard,
-          std::uint64_t epoch,
-          base::Micros earlier_confirmed,
-          Authority authority);
-  ~Manager();
-  Manager(const Manager&) = delete;
-  Manager& operator=(const Manager&) = delete;
+  ShardManager(base::Loop& loop,
+               platform::Store& store,
+               base::Counters& counters,
+               const Settings& settings,
+               const Shard& shard,
+               std::uint64_t epoch,
+               base::Micros earlier_confirmed,
+               Authority authority);
+  ~ShardManager();
+  ShardManager(const ShardManager&) = delete;
+  ShardManager& operator=(const ShardManager&) = delete;
 
   void SetConfig(const jobs::Config& config);
   void SetWave(const scheduler::Wave& wave);
-  void Confirmed(base::Micros asked);
+  void OwnershipConfirmed(base::Micros asked);
 
   // How the shard stands, for those who choose among shards.
   ShardLoad Load() const;
@@ -70,94 +70,94 @@
   std::string Dump() const;
 
  private:
-  using Order = std::
+  using Command = std::
       variant<scheduler::StartRun, scheduler::StopRun, scheduler::ThrottleRun>;
   // Orders to one worker go one after the other over one connection.
-  struct WorkerOrders {
-    std::deque<Order> waiting;
+  struct CommandQueue {
+    std::deque<Command> waiting;
     bool in_flight = false;
   };
 
   // Workers of the list of those that may hold a lease: held by this owner, and
   // carried from earlier ones.
-  struct WorkerNames {
+  struct RecordedWorkers {
     std::vector<jobs::WorkerLife> held;
     std::vector<jobs::WorkerLife> carried;
 
-    bool operator==(const WorkerNames&) const = default;
+    bool operator==(const RecordedWorkers&) const = default;
   };
 
   // Taking over: what is kept is read first.
-  void ReadKept();
-  void ReadRest();
-  void Begin();
-  void AddKeptJobs();
-  void AddWorkers();
-  bool TakeLeases(const platform::Row& row);
+  void StartTakeover();
+  void ReadStoredState();
+  void StartIfLoaded();
+  void AddStoredJobs();
+  void AddStoredWorkers();
+  bool LoadLeaseRecord(const platform::Row& row);
 
   // The store's news.
-  void TakeJobRow(const platform::Row& row);
-  void TakeWorkerRow(const platform::ChangedRow& changed);
+  void HandleJobRow(const platform::Row& row);
+  void HandleWorkerRow(const platform::ChangedRow& changed);
 
   // Whether orders may leave, and what follows when they may not.
-  bool MayOrder() const;
-  bool IsCertain() const;
-  bool IsInDoubt() const;
-  void HoldOrders();
-  void ResumeOrders();
-  void RenewInDoubt();
-  base::Micros GrantBound() const;
+  bool MaySendCommands() const;
+  bool IsOwnershipCertain() const;
+  bool IsOwnershipExpiring() const;
+  void SuspendCommands();
+  void ResumeCommands();
+  void ExtendLeasesBeforeExpiry();
+  base::Micros MaxLeaseAfterConfirmation() const;
 
   // Actions.
-  void Act();
-  void ActSoon();
-  void CarryAll();
-  void Carry(scheduler::Action action);
-  void Enqueue(Order order);
-  void SendNext(const jobs::WorkerLife& worker);
-  void Send(const jobs::WorkerLife& worker, const scheduler::StartRun& order);
-  void Send(const jobs::WorkerLife& worker, const scheduler::StopRun& order);
+  void RunCycle();
+  void ScheduleCycle();
+  void PerformActions();
+  void Perform(scheduler::Action action);
+  void EnqueueCommand(Command command);
+  void SendNextCommand(const jobs::WorkerLife& worker);
+  void Send(const jobs::WorkerLife& worker, const scheduler::StartRun& command);
+  void Send(const jobs::WorkerLife& worker, const scheduler::StopRun& command);
   void Send(const jobs::WorkerLife& worker,
-            const scheduler::ThrottleRun& order);
-  void GiveBack(const std::deque<Order>& given);
-  void OrderAnswered(const jobs::WorkerLife& worker,
-                     scheduler::CommandOutcome outcome);
-  void SendLook(const scheduler::PollWorker& order);
-  void Ask(const scheduler::RequestAdvice& ask);
-  void ReadJob(const std::string& job);
-  void ReadRowOf(const std::string& job,
-                 const platform::RowKey& at,
-                 std::function<void(const platform::Row* row)> take);
-  void ReadJobRow(const std::string& job,
-                  const jobs::Progress& progress,
-                  std::uint64_t version);
-  void ReadJobsAgain();
-  void LogBoxAsked(const char* call,
-                   const std::string& box,
-                   const scheduler::BoxCallContext& evidence) const;
+            const scheduler::ThrottleRun& command);
+  void ReportNotSent(const std::deque<Command>& commands);
+  void CommandAnswered(const jobs::WorkerLife& worker,
+                       scheduler::CommandOutcome outcome);
+  void SendPoll(const scheduler::PollWorker& command);
+  void RequestAdvice(const scheduler::RequestAdvice& ask);
+  void LoadJob(const std::string& job);
+  void ReadRow(const std::string& job,
+               const platform::RowKey& at,
+               std::function<void(const platform::Row* row)> take);
+  void LoadAcceptedJob(const std::string& job,
+                       const jobs::Progress& progress,
+                       std::uint64_t version);
+  void RetryJobReads();
+  void LogBoxCall(const char* call,
+                  const std::string& box,
+                  const scheduler::BoxCallContext& evidence) const;
   BoxCalls::Events BoxCallEvents();
   void RecordBoxCalls();
-  void SendBox(const scheduler::MoveBox& order);
-  void SendBox(const scheduler::MaintainBox& order);
-  void SaveAll();
-  void Save(std::vector<scheduler::SaveProgress> batch);
-  bool MustSaveAgain(const scheduler::SaveProgress& save,
-                     platform::WriteOutcome outcome,
-                     const platform::Row* there) const;
-  void TakeSaved(const std::vector<scheduler::SaveProgress>& batch,
-                 const platform::WriteResult& result);
+  void SendBoxCall(const scheduler::MoveBox& command);
+  void SendBoxCall(const scheduler::MaintainBox& command);
+  void SavePendingProgress();
+  void SaveBatch(std::vector<scheduler::SaveProgress> batch);
+  bool ShouldRetrySave(const scheduler::SaveProgress& save,
+                       platform::WriteOutcome outcome,
+                       const platform::Row* stored) const;
+  void HandleSaveResult(const std::vector<scheduler::SaveProgress>& batch,
+                        const platform::WriteResult& result);
   void RecordWorkers();
-  LeaseRecord ListWorkers(base::Micros now) const;
-  static WorkerNames NamesOf(const LeaseRecord& record);
-  void TakeRecorded(const WorkerNames& names,
-                    std::uint64_t change,
-                    const platform::WriteResult& result);
-  void WriteCounts();
-  void LogPools();
+  LeaseRecord MakeLeaseRecord(base::Micros now) const;
+  static RecordedWorkers RecordedWorkersOf(const LeaseRecord& record);
+  void HandleRecordResult(const RecordedWorkers& names,
+                          std::uint64_t change,
+                          const platform::WriteResult& result);
+  void WriteWaitingCounts();
+  void LogPoolStates();
   void ListBoxes(const std::string& page,
-                 std::vector<scheduler::BoxInfo> so_far,
+                 std::vector<scheduler::BoxInfo> listed,
                  base::Micros asked);
-  platform::OrderTo To(const jobs::WorkerLife& worker) const;
+  platform::OrderTo AddresseeOf(const jobs::WorkerLife& worker) const;
   std::optional<scheduler::Job> MakeJob(const std::string& id,
                                         const AcceptedJob& accepted,
                                         jobs::Progress progress,
@@ -172,7 +172,7 @@
   base::Micros earlier_confirmed;
   Authority authority;
   // Orders' own: what is closed takes along what is on its way.
-  http::Client order_client;
+  http::Client command_client;
   platform::Workers workers;
   platform::Boxes boxes;
   platform::Advisor advisor;
@@ -180,46 +180,47 @@
   jobs::Config config;
 
   // Read while taking over.
-  bool begun = false;
+  bool started = false;
   bool has_config = false;
-  std::set<std::string> reading;  // tables
-  std::optional<std::vector<platform::Row>> kept_jobs;
-  std::optional<std::vector<platform::Row>> kept_progress;
-  std::optional<std::vector<platform::Row>> kept_leases;
-  std::optional<std::vector<platform::Row>> kept_waves;
-  std::optional<std::map<std::string, scheduler::WorkerInfo>> announced;
+  std::set<std::string> tables_being_read;
+  std::optional<std::vector<platform::Row>> stored_jobs;
+  std::optional<std::vector<platform::Row>> stored_progress;
+  std::optional<std::vector<platform::Row>> stored_leases;
+  std::optional<std::vector<platform::Row>> stored_waves;
+  std::optional<std::map<std::string, scheduler::WorkerInfo>>
+      registered_workers;
   WaveRecords waves;
   QuotaRecords quotas;
   BoxCalls box_calls;
-  std::vector<scheduler::BoxCall> kept_calls;
+  std::vector<scheduler::BoxCall> inherited_box_calls;
 
-  std::set<std::string> cancels;  // of jobs not known yet
+  std::set<std::string> cancelled_jobs;  // of jobs not known yet
   // Jobs to be read anew: the store gave no answer.
-  std::set<std::string> unread_jobs;
-  base::Micros next_job_read{};
-  std::map<jobs::WorkerLife, WorkerOrders> orders;
-  SaveQueue saves;
+  std::set<std::string> jobs_to_reload;
+  base::Micros next_job_reload{};
+  std::map<jobs::WorkerLife, CommandQueue> command_queues;
+  SaveQueue save_queue;
   int saves_in_flight = 0;
   SavePolicy save_policy;
-  WorkerNames recorded;               // in the stored list
-  std::uint64_t recorded_change = 0;  // of the scheduler's workers
+  RecordedWorkers recorded_workers;           // in the stored list
+  std::uint64_t recorded_worker_changes = 0;  // of the scheduler's workers
   std::uint64_t lease_version = 0;
-  bool lease_writing = false;
-  std::map<std::string, int> counted;  // as last written
+  bool lease_write_in_flight = false;
+  std::map<std::string, int> written_counts;  // as last written
   std::uint64_t count_version = 0;
   base::Micros confirmed_at{};
-  base::Micros next_count{};
+  base::Micros next_count_write{};
   base::Micros next_pool_log{};
-  base::Micros next_list{};
-  base::Micros next_record{};
+  base::Micros next_box_list{};
+  base::Micros next_lease_write{};
   bool listing_boxes = false;
-  bool orders_held = false;       // the ownership is not certain now
-  bool renewed_in_doubt = false;  // since the store last confirmed it
-  base::Timer timer;
-  base::Timer soon;
-  bool act_is_due = false;  // `soon` is set
-  base::Micros last_turn{};
-  base::Micros turn_time{};  // that the last turn took
+  bool commands_suspended = false;  // the ownership is not certain now
+  bool leases_extended = false;     // since the store last confirmed it
+  base::Timer tick_timer;
+  base::Timer cycle_timer;
+  bool cycle_is_scheduled = false;  // `cycle_timer` is set
+  base::Micros cycle_start{};
+  base::Micros cycle_duration{};  // that the last turn took
   std::unique_ptr<platform::TableFollower> job_follower;
   std::unique_ptr<platform::TableFollower> worker_follower;
   // Calls still on their way when this is destroyed find it unset.
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -9,21 +9,21 @@
 
 namespace {
 
-std::string_view OutcomeName(scheduler::BoxCallOutcome outcome) {
+std::string_view NameOfOutcome(scheduler::BoxCallOutcome outcome) {
   return base::NameOf(scheduler::kBoxCallOutcomeNames, outcome);
 }
 
 }  // namespace
 
-BoxCalls::Events Manager::BoxCallEvents() {
+BoxCalls::Events ShardManager::BoxCallEvents() {
   return {.on_claimed =
               [this](const std::vector<scheduler::BoxCall>& calls) {
-                this->kept_calls = calls;
-                this->Begin();
+                this->inherited_box_calls = calls;
+                this->StartIfLoaded();
               },
           .on_recorded =
               [this](const scheduler::BoxCall& call) {
-                std::visit([this](const auto& one) { this->SendBox(one); },
+                std::visit([this](const auto& one) { this->SendBoxCall(one); },
                            call);
               },
           .on_rejected =
@@ -47,7 +47,7 @@
           .on_fenced = [this] { this->authority.on_fenced(); }};
 }
 
-void Manager::RecordBoxCalls() {
+void ShardManager::RecordBoxCalls() {
   this->box_calls.Sync(
       [this](const std::string& box) {
         return this->scheduler.HasOpenBoxCall(box);
@@ -57,9 +57,9 @@
 
 // Before the call: one that its owner does not live to see answered leaves no
 // other line.
-void Manager::LogBoxAsked(const char* call,
-                          const std::string& box,
-                          const scheduler::BoxCallContext& evidence) const {
+void ShardManager::LogBoxCall(const char* call,
+                              const std::string& box,
+                              const scheduler::BoxCallContext& evidence) const {
   base::Log(base::Event::kBoxAsked,
             {{"call", call},
              {"box", box},
@@ -71,53 +71,54 @@
              {"presumed_over", evidence.runs_presumed_over}});
 }
 
-void Manager::SendBox(const scheduler::MoveBox& order) {
-  this->LogBoxAsked("move", order.box, order.context);
+void ShardManager::SendBoxCall(const scheduler::MoveBox& command) {
+  this->LogBoxCall("move", command.box, command.context);
   const base::Micros sent = base::MonotonicNow();
-  this->boxes.Move(order, this->epoch,
-                   [this, order, sent,
-                    lives = this->alive](scheduler::BoxCallOutcome outcome) {
-                     if (!*lives)
+  this->boxes.Move(command, this->epoch,
+                   [this, command, sent,
+                    alive = this->alive](scheduler::BoxCallOutcome outcome) {
+                     if (!*alive)
                        return;
                      const base::Micros now = base::MonotonicNow();
                      base::Log(base::Event::kBoxMoved,
-                               {{"box", order.box},
-                                {"pool", order.pool},
+                               {{"box", command.box},
+                                {"pool", command.pool},
                                 {"epoch", this->epoch},
-                                {"outcome", OutcomeName(outcome)},
+                                {"outcome", NameOfOutcome(outcome)},
                                 {"took_ms", base::Millis(now - sent)}});
-                     this->scheduler.MoveAnswered(order, outcome, now);
-                     this->ActSoon();
+                     this->scheduler.MoveAnswered(command, outcome, now);
+                     this->ScheduleCycle();
                    });
 }
 
-void Manager::SendBox(const scheduler::MaintainBox& order) {
-  this->LogBoxAsked("upkeep", order.box, order.context);
+void ShardManager::SendBoxCall(const scheduler::MaintainBox& command) {
+  this->LogBoxCall("upkeep", command.box, command.context);
   const base::Micros sent = base::MonotonicNow();
-  this->boxes.Upkeep(order, this->epoch,
-                     [this, order, sent,
-                      lives = this->alive](scheduler::BoxCallOutcome outcome) {
-                       if (!*lives)
+  this->boxes.Upkeep(command, this->epoch,
+                     [this, command, sent,
+                      alive = this->alive](scheduler::BoxCallOutcome outcome) {
+                       if (!*alive)
                          return;
                        const base::Micros now = base::MonotonicNow();
                        base::Log(base::Event::kUpkeepBegun,
-                                 {{"box", order.box},
-                                  {"wave", order.wave},
+                                 {{"box", command.box},
+                                  {"wave", command.wave},
                                   {"epoch", this->epoch},
-                                  {"outcome", OutcomeName(outcome)},
+                                  {"outcome", NameOfOutcome(outcome)},
                                   {"took_ms", base::Millis(now - sent)}});
-                       this->scheduler.MaintenanceAnswered(order, outcome, now);
-                       this->ActSoon();
+                       this->scheduler.MaintenanceAnswered(command, outcome,
+                                                           now);
+                       this->ScheduleCycle();
                      });
 }
 
-void Manager::ListBoxes(const std::string& page,
-                        std::vector<scheduler::BoxInfo> so_far,
-                        base::Micros asked) {
+void ShardManager::ListBoxes(const std::string& page,
+                             std::vector<scheduler::BoxInfo> listed,
+                             base::Micros asked) {
   this->boxes.List(
-      page, [this, so_far = std::move(so_far), asked, lives = this->alive](
+      page, [this, listed = std::move(listed), asked, alive = this->alive](
                 std::optional<platform::BoxPage> result) mutable {
-        if (!*lives)
+        if (!*alive)
           return;
         if (!result) {
           this->listing_boxes = false;
@@ -125,15 +126,15 @@
         }
         for (scheduler::BoxInfo& box : result->boxes) {
           if (HoldsBox(this->shard, box.name))
-            so_far.push_back(std::move(box));
+            listed.push_back(std::move(box));
         }
         if (!result->next.empty()) {
-          this->ListBoxes(result->next, std::move(so_far), asked);
+          this->ListBoxes(result->next, std::move(listed), asked);
           return;
         }
         this->listing_boxes = false;
-        this->scheduler.SetBoxes(so_far, asked, base::MonotonicNow());
-        this->ActSoon();
+        this->scheduler.SetBoxes(listed, asked, base::MonotonicNow());
+        this->ScheduleCycle();
       });
 }
 
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -20,18 +20,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr base::Micros kCountPeriod = seconds(1);
+constexpr base::Micros kCountWritePeriod = seconds(1);
 constexpr base::Micros kPoolLogPeriod = seconds(1);
-constexpr base::Micros kRecordAgain = milliseconds(200);
+constexpr base::Micros kLeaseWriteRetryDelay = milliseconds(200);
 // The list as it is cannot be written; it is tried again when it has changed
 // and some time has passed.
-constexpr base::Micros kRecordRefused = seconds(2);
+constexpr base::Micros kLeaseWriteRejectedDelay = seconds(2);
 // The list is made and written this often at most: it names every worker.
-constexpr base::Micros kRecordGap = milliseconds(40);
+constexpr base::Micros kMinLeaseWriteInterval = milliseconds(40);
 constexpr int kMaxSavesInFlight = 2;
 
 // Of each reason, how many tasks wait and the longest of their waits in ms.
-std::string WaitingText(const scheduler::PoolState& state) {
+std::string FormatWaitReasons(const scheduler::PoolState& state) {
   std::string text;
   for (const auto& [reason, waiting] : state.waiting_for) {
     text += fmt::format("{}{} {} oldest {}", text.empty() ? "" : ", ",
@@ -41,7 +41,7 @@
   return text;
 }
 
-std::size_t PartsOf(const std::vector<scheduler::SaveProgress>& batch) {
+std::size_t CountParts(const std::vector<scheduler::SaveProgress>& batch) {
   std::set<std::string> parts;
   for (const scheduler::SaveProgress& save : batch)
     parts.insert(ProgressRow(save.job).part);
@@ -50,19 +50,20 @@
 
 }  // namespace
 
-void Manager::SaveAll() {
+void ShardManager::SavePendingProgress() {
   const bool one_part = this->save_policy.one_part(base::MonotonicNow());
-  while (!this->saves.empty()) {
+  while (!this->save_queue.empty()) {
     if (!one_part && this->saves_in_flight >= kMaxSavesInFlight)
       return;
-    std::vector<scheduler::SaveProgress> batch = this->saves.Take(one_part);
+    std::vector<scheduler::SaveProgress> batch =
+        this->save_queue.Take(one_part);
     if (batch.empty())
       return;
-    this->Save(std::move(batch));
+    this->SaveBatch(std::move(batch));
   }
 }
 
-void Manager::Save(std::vector<scheduler::SaveProgress> batch) {
+void ShardManager::SaveBatch(std::vector<scheduler::SaveProgress> batch) {
   platform::WriteBatch write;
   for (const scheduler::SaveProgress& save : batch) {
     const platform::RowKey row = ProgressRow(save.job);
@@ -75,51 +76,52 @@
   const base::Micros sent = base::MonotonicNow();
   this->store.Write(
       write, [this, batch = std::move(batch), sent,
-              lives = this->alive](const platform::WriteResult& result) {
-        if (!*lives)
+              alive = this->alive](const platform::WriteResult& result) {
+        if (!*alive)
           return;
         --this->saves_in_flight;
-        this->saves.Settled(batch);
+        this->save_queue.Settled(batch);
         const base::Micros now = base::MonotonicNow();
-        this->save_policy.Answered(result, PartsOf(batch), now - sent, now);
-        this->TakeSaved(batch, result);
+        this->save_policy.Answered(result, CountParts(batch), now - sent, now);
+        this->HandleSaveResult(batch, result);
         // Placements that are recorded now are ordered at once.
-        this->CarryAll();
-        this->ActSoon();
+        this->PerformActions();
+        this->ScheduleCycle();
       });
 }
 
-void Manager::TakeSaved(const std::vector<scheduler::SaveProgress>& batch,
-                        const platform::WriteResult& result) {
+void ShardManager::HandleSaveResult(
+    const std::vector<scheduler::SaveProgress>& batch,
+    const platform::WriteResult& result) {
   const base::Micros now = base::MonotonicNow();
   std::map<std::string, const platform::Row*> rows;
   for (const platform::Row& row : result.rows)
     rows[row.at.key] = &row;
   // One of them cannot be written as it is; the others can.
-  const bool spoilt =
+  const bool is_batch_rejected =
       result.outcome == platform::WriteOutcome::kRefused && batch.size() > 1;
   for (const scheduler::SaveProgress& save : batch) {
-    if (spoilt) {
-      this->saves.AddAlone(save);
+    if (is_batch_rejected) {
+      this->save_queue.AddAlone(save);
       continue;
     }
     const auto found = rows.find(save.job);
-    const platform::Row* there = found == rows.end() ? nullptr : found->second;
-    if (this->MustSaveAgain(save, result.outcome, there)) {
-      this->saves.Add(save);
+    const platform::Row* stored = found == rows.end() ? nullptr : found->second;
+    if (this->ShouldRetrySave(save, result.outcome, stored)) {
+      this->save_queue.Add(save);
       continue;
     }
-    this->scheduler.ProgressSaved(SaveResultOf(save, result, there), now);
+    this->scheduler.ProgressSaved(SaveResultOf(save, result, stored), now);
   }
 }
 
 // Nothing has changed for this row: its write was waited for in vain, and made
 // again it finds its own row; or another row of the batch was in the way. One
 // that failed at once is left to the scheduler, which lets some time pass.
-bool Manager::MustSaveAgain(const scheduler::SaveProgress& save,
-                            platform::WriteOutcome outcome,
-                            const platform::Row* there) const {
-  const std::uint64_t version = there ? there->version : 0;
+bool ShardManager::ShouldRetrySave(const scheduler::SaveProgress& save,
+                                   platform::WriteOutcome outcome,
+                                   const platform::Row* stored) const {
+  const std::uint64_t version = stored ? stored->version : 0;
   const bool was_waited_for = this->save_policy.slow();
   return (outcome == platform::WriteOutcome::kUnknown && was_waited_for) ||
          (outcome == platform::WriteOutcome::kConflict &&
@@ -128,19 +130,19 @@
 
 // Every worker is in the stored list before it gets its first lease, so that a
 // later owner knows whom to ask.
-void Manager::RecordWorkers() {
+void ShardManager::RecordWorkers() {
   const base::Micros now = base::MonotonicNow();
-  if (this->lease_writing || now < this->next_record)
+  if (this->lease_write_in_flight || now < this->next_lease_write)
     return;
   const std::uint64_t change = this->scheduler.worker_changes();
-  if (change == this->recorded_change)
+  if (change == this->recorded_worker_changes)
     return;
-  this->next_record = now + kRecordGap;
-  const LeaseRecord record = this->ListWorkers(now);
-  const WorkerNames names = NamesOf(record);
-  if (names == this->recorded) {
+  this->next_lease_write = now + kMinLeaseWriteInterval;
+  const LeaseRecord record = this->MakeLeaseRecord(now);
+  const RecordedWorkers names = RecordedWorkersOf(record);
+  if (names == this->recorded_workers) {
     // One that went and came back stands in the list as it was.
-    this->recorded_change = change;
+    this->recorded_worker_changes = change;
     this->scheduler.WorkersRecorded(names.held);
     return;
   }
@@ -149,17 +151,17 @@
       .conditions = {{.at = row, .version = this->lease_version}},
       .puts = {{.at = row, .value = EncodeLeases(record)}},
       .removes = {}};
-  this->lease_writing = true;
-  this->store.Write(write, [this, names, change, lives = this->alive](
+  this->lease_write_in_flight = true;
+  this->store.Write(write, [this, names, change, alive = this->alive](
                                const platform::WriteResult& result) {
-    if (!*lives)
+    if (!*alive)
       return;
-    this->lease_writing = false;
-    this->TakeRecorded(names, change, result);
+    this->lease_write_in_flight = false;
+    this->HandleRecordResult(names, change, result);
   });
 }
 
-LeaseRecord Manager::ListWorkers(base::Micros now) const {
+LeaseRecord ShardManager::MakeLeaseRecord(base::Micros now) const {
   LeaseRecord record{.epoch = this->epoch, .workers = {}};
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
     if (!worker.has_listing && worker.latest_lease_end <= now)
@@ -172,82 +174,83 @@
   return record;
 }
 
-Manager::WorkerNames Manager::NamesOf(const LeaseRecord& record) {
-  WorkerNames names;
+ShardManager::RecordedWorkers ShardManager::RecordedWorkersOf(
+    const LeaseRecord& record) {
+  RecordedWorkers names;
   for (const LeaseHolder& holder : record.workers)
     (holder.held ? names.held : names.carried).push_back(holder.worker.life);
   return names;
 }
 
-void Manager::TakeRecorded(const WorkerNames& names,
-                           std::uint64_t change,
-                           const platform::WriteResult& result) {
+void ShardManager::HandleRecordResult(const RecordedWorkers& names,
+                                      std::uint64_t change,
+                                      const platform::WriteResult& result) {
   const base::Micros now = base::MonotonicNow();
   switch (result.outcome) {
     case platform::WriteOutcome::kDone:
       this->lease_version = result.version;
-      this->recorded = names;
-      this->recorded_change = change;
+      this->recorded_workers = names;
+      this->recorded_worker_changes = change;
       this->scheduler.WorkersRecorded(names.held);
-      this->ActSoon();
+      this->ScheduleCycle();
       return;
     case platform::WriteOutcome::kConflict:
       // An own write that was thought lost, an earlier owner's that came late,
       // or the next owner's.
-      if (!result.rows.empty() && !this->TakeLeases(result.rows.front())) {
+      if (!result.rows.empty() && !this->LoadLeaseRecord(result.rows.front())) {
         // A moment later this is destroyed: orders stop leaving at once.
         this->authority.on_fenced();
         return;
       }
-      this->next_record = now;
-      this->ActSoon();
+      this->next_lease_write = now;
+      this->ScheduleCycle();
       return;
     case platform::WriteOutcome::kUnknown:
       // The wait for its answer was long enough.
-      this->next_record = now;
-      this->ActSoon();
+      this->next_lease_write = now;
+      this->ScheduleCycle();
       return;
     case platform::WriteOutcome::kNotDone:
-      this->next_record = now + kRecordAgain;
+      this->next_lease_write = now + kLeaseWriteRetryDelay;
       return;
     case platform::WriteOutcome::kRefused:
-      this->next_record = now + kRecordRefused;
+      this->next_lease_write = now + kLeaseWriteRejectedDelay;
       return;
   }
 }
 
-void Manager::WriteCounts() {
+void ShardManager::WriteWaitingCounts() {
   const base::Micros now = base::MonotonicNow();
-  if (now < this->next_count)
+  if (now < this->next_count_write)
     return;
-  this->next_count = now + kCountPeriod;
+  this->next_count_write = now + kCountWritePeriod;
   const std::map<std::string, int> counts = this->scheduler.WaitingJobs();
-  if (counts == this->counted)
+  if (counts == this->written_counts)
     return;
   const platform::RowKey row = CountRow(this->shard);
   const platform::WriteBatch write{
       .conditions = {{.at = row, .version = this->count_version}},
       .puts = {{.at = row, .value = EncodeCounts(counts)}},
       .removes = {}};
-  this->store.Write(write, [this, counts, lives = this->alive](
+  this->store.Write(write, [this, counts, alive = this->alive](
                                const platform::WriteResult& result) {
-    if (!*lives)
+    if (!*alive)
       return;
     if (result.outcome == platform::WriteOutcome::kDone) {
-      this->counted = counts;
+      this->written_counts = counts;
       this->count_version = result.version;
     }
     // An earlier owner's, or an own write that was thought lost.
     if (result.outcome == platform::WriteOutcome::kConflict &&
         !result.rows.empty()) {
       this->count_version = result.rows.front().version;
-      this->counted.clear();
-      this->next_count = {};
+      this->written_counts.clear();
+      this->next_count_write = {};
     }
   });
 }
 
-ShardLoad Manager::Load() const {
+ShardLoad ShardManager::Load() const {
   ShardLoad load;
   for (const scheduler::PoolState& state :
        this->scheduler.PoolStates(base::MonotonicNow()))
@@ -256,7 +259,7 @@
   return load;
 }
 
-void Manager::LogPools() {
+void ShardManager::LogPoolStates() {
   const base::Micros now = base::MonotonicNow();
   if (now < this->next_pool_log)
     return;
@@ -275,15 +278,15 @@
                {"waiting", state.waiting},
                {"waiting_cores", fmt::format("{:.0f}", state.waiting_cores)},
                {"oldest_ms", base::Millis(state.oldest)},
-               {"waiting_for", WaitingText(state)},
+               {"waiting_for", FormatWaitReasons(state)},
                {"given_up", state.given_up}});
   }
 }
 
-std::string Manager::Dump() const {
+std::string ShardManager::Dump() const {
   Json dump = {{"shard", this->shard.number},
                {"epoch", this->epoch},
-               {"begun", this->begun},
+               {"begun", this->started},
                {"workers", Json::array()},
                {"jobs", Json::array()}};
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -15,16 +15,16 @@
 
 using std::chrono::milliseconds;
 
-constexpr base::Micros kReadAgain = milliseconds(200);
+constexpr base::Micros kReadRetryDelay = milliseconds(200);
 // Workers come and go one by one, 80 a second while a pool grows: a feed then
 // brings those of this time together (540 workers: 25,252 calls of four owners
 // on a calm day, a quarter of all calls of the store, before the pause).
-constexpr base::Micros kWorkerPause = milliseconds(50);
+constexpr base::Micros kWorkerFeedPause = milliseconds(50);
 // The store's clock is known to about its quickest answer; a slow store takes
 // some hundred ms.
 constexpr base::Micros kStoreClockSlack = milliseconds(1000);
 
-std::optional<jobs::Progress> ProgressOf(const platform::Row& row) {
+std::optional<jobs::Progress> DecodeProgressRow(const platform::Row& row) {
   const auto kept = DecodeKept(row.value);
   return kept ? jobs::DecodeProgress(kept->text) : std::nullopt;
 }
@@ -33,33 +33,33 @@
 
 // Jobs first: progress that is read later belongs to jobs that are known, and
 // later jobs come by the feed.
-void Manager::ReadKept() {
+void ShardManager::StartTakeover() {
   this->RecordBoxCalls();
   this->job_follower = std::make_unique<platform::TableFollower>(
       this->loop, this->store, JobTable(this->shard), JobParts(),
       platform::TableFollower::Events{
           .on_all =
               [this](std::vector<platform::Row> rows) {
-                if (this->begun) {
+                if (this->started) {
                   for (const platform::Row& row : rows)
-                    this->TakeJobRow(row);
-                  this->ActSoon();
+                    this->HandleJobRow(row);
+                  this->ScheduleCycle();
                   return;
                 }
-                this->kept_jobs = std::move(rows);
-                this->ReadRest();
+                this->stored_jobs = std::move(rows);
+                this->ReadStoredState();
               },
           .on_changes =
               [this](const std::vector<platform::ChangedRow>& rows) {
                 for (const platform::ChangedRow& changed : rows) {
                   if (changed.removed)
                     continue;
-                  if (this->begun)
-                    this->TakeJobRow(changed.row);
+                  if (this->started)
+                    this->HandleJobRow(changed.row);
                   else
-                    this->kept_jobs->push_back(changed.row);
+                    this->stored_jobs->push_back(changed.row);
                 }
-                this->ActSoon();
+                this->ScheduleCycle();
               },
           .on_contact = [](base::Micros) {},
           .on_lost = [] {}});
@@ -69,116 +69,118 @@
       platform::TableFollower::Events{
           .on_all =
               [this](const std::vector<platform::Row>& rows) {
-                std::set<std::string> there;
-                if (!this->announced)
-                  this->announced.emplace();
+                std::set<std::string> present;
+                if (!this->registered_workers)
+                  this->registered_workers.emplace();
                 for (const platform::Row& row : rows) {
-                  there.insert(row.at.key);
-                  this->TakeWorkerRow({.row = row, .removed = false});
+                  present.insert(row.at.key);
+                  this->HandleWorkerRow({.row = row, .removed = false});
                 }
-                std::vector<std::string> gone;
-                for (const auto& [id, info] : *this->announced) {
-                  if (!there.contains(id))
-                    gone.push_back(id);
+                std::vector<std::string> deregistered;
+                for (const auto& [id, info] : *this->registered_workers) {
+                  if (!present.contains(id))
+                    deregistered.push_back(id);
                 }
-                for (const std::string& id : gone) {
+                for (const std::string& id : deregistered) {
                   platform::Row row;
                   row.at.key = id;
-                  this->TakeWorkerRow({.row = row, .removed = true});
+                  this->HandleWorkerRow({.row = row, .removed = true});
                 }
-                this->Begin();
+                this->StartIfLoaded();
               },
           .on_changes =
               [this](const std::vector<platform::ChangedRow>& rows) {
                 for (const platform::ChangedRow& changed : rows)
-                  this->TakeWorkerRow(changed);
-                this->ActSoon();
+                  this->HandleWorkerRow(changed);
+                this->ScheduleCycle();
               },
           .on_contact = [](base::Micros) {},
           .on_lost = [] {}},
-      platform::TableFollower::Pace{.pause = [] { return kWorkerPause; }});
+      platform::TableFollower::Pace{.pause = [] { return kWorkerFeedPause; }});
 }
 
-void Manager::ReadRest() {
-  if (this->begun)
+void ShardManager::ReadStoredState() {
+  if (this->started)
     return;
   const auto read = [this](std::string_view table,
                            const std::vector<std::string>& parts,
                            std::optional<std::vector<platform::Row>>& into) {
     // A slow store may still be at the last one.
-    if (into || !this->reading.emplace(table).second)
+    if (into || !this->tables_being_read.emplace(table).second)
       return;
     platform::ReadTable(this->store, std::string(table), parts,
-                        [this, &into, table, lives = this->alive](
+                        [this, &into, table, alive = this->alive](
                             std::optional<platform::TableContent> content) {
-                          if (!*lives)
+                          if (!*alive)
                             return;
-                          this->reading.erase(std::string(table));
+                          this->tables_being_read.erase(std::string(table));
                           if (content)
                             into = std::move(content->rows);
-                          this->ReadRest();
-                          this->Begin();
+                          this->ReadStoredState();
+                          this->StartIfLoaded();
                         });
   };
-  read(kProgressTable, JobParts(), this->kept_progress);
+  read(kProgressTable, JobParts(), this->stored_progress);
   // The list of workers after the progress: an earlier owner that has not
   // noticed its loss lists a worker before it places anything there. Read at
   // the same time, a placement could show whose worker the list lacks, and
   // that would pass for a worker without a lease.
-  if (this->kept_progress)
-    read(kLeaseTable, {SmallPart(kLeaseTable, this->shard)}, this->kept_leases);
-  read(kWaveTable, SmallParts(kWaveTable, this->shard.count), this->kept_waves);
-  this->timer.StartOnce(kReadAgain);
+  if (this->stored_progress)
+    read(kLeaseTable, {SmallPart(kLeaseTable, this->shard)},
+         this->stored_leases);
+  read(kWaveTable, SmallParts(kWaveTable, this->shard.count),
+       this->stored_waves);
+  this->tick_timer.StartOnce(kReadRetryDelay);
 }
 
-void Manager::Begin() {
-  const bool complete = this->has_config && this->kept_jobs &&
-                        this->kept_progress && this->kept_leases &&
-                        this->kept_waves && this->announced &&
+void ShardManager::StartIfLoaded() {
+  const bool complete = this->has_config && this->stored_jobs &&
+                        this->stored_progress && this->stored_leases &&
+                        this->stored_waves && this->registered_workers &&
                         this->box_calls.claimed();
-  if (this->begun || !complete)
+  if (this->started || !complete)
     return;
-  this->begun = true;
-  this->scheduler.InheritBoxCalls(std::exchange(this->kept_calls, {}),
+  this->started = true;
+  this->scheduler.InheritBoxCalls(std::exchange(this->inherited_box_calls, {}),
                                   base::MonotonicNow());
-  this->AddWorkers();
+  this->AddStoredWorkers();
   this->scheduler.SetConfig(this->config, base::MonotonicNow());
-  this->AddKeptJobs();
-  this->waves.Begin(*this->kept_waves, base::MonotonicNow());
+  this->AddStoredJobs();
+  this->waves.Begin(*this->stored_waves, base::MonotonicNow());
   base::Log(base::Event::kOwnershipReady,
             {{"shard", this->shard.number},
              {"epoch", this->epoch},
              {"jobs", this->scheduler.all_jobs().size()},
              {"workers", this->scheduler.all_workers().size()}});
-  this->timer.StartEvery(kTick);
-  this->ActSoon();
+  this->tick_timer.StartEvery(kTick);
+  this->ScheduleCycle();
 }
 
-void Manager::AddWorkers() {
+void ShardManager::AddStoredWorkers() {
   const base::Micros now = base::MonotonicNow();
-  for (const platform::Row& row : *this->kept_leases) {
+  for (const platform::Row& row : *this->stored_leases) {
     if (row.at.key == kLeaseKey)
-      this->TakeLeases(row);
+      this->LoadLeaseRecord(row);
   }
-  for (const auto& [id, info] : *this->announced)
+  for (const auto& [id, info] : *this->registered_workers)
     this->scheduler.UpdateWorker(info, now);
 }
 
-void Manager::AddKeptJobs() {
+void ShardManager::AddStoredJobs() {
   const base::Micros now = base::MonotonicNow();
   std::map<std::string, const platform::Row*> progress;
-  for (const platform::Row& row : *this->kept_progress)
+  for (const platform::Row& row : *this->stored_progress)
     progress[row.at.key] = &row;
-  for (const platform::Row& row : *this->kept_jobs) {
+  for (const platform::Row& row : *this->stored_jobs) {
     const JobKey key = ParseJobKey(row.at.key);
     if (key.is_cancel) {
-      this->cancels.insert(key.job);
+      this->cancelled_jobs.insert(key.job);
       continue;
     }
     const auto found = progress.find(key.job);
     const bool is_kept = found != progress.end();
     const auto accepted = DecodeAccepted(row.value);
-    auto kept = is_kept ? ProgressOf(*found->second)
+    auto kept = is_kept ? DecodeProgressRow(*found->second)
                         : std::optional<jobs::Progress>(jobs::Progress{});
     if (!accepted || !kept) {
       base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
@@ -193,15 +195,15 @@
       continue;
     this->scheduler.AddJob(std::move(*job), now);
   }
-  for (const std::string& id : this->cancels)
+  for (const std::string& id : this->cancelled_jobs)
     this->scheduler.CancelJob(id, now);
-  this->kept_jobs->clear();
-  this->kept_progress->clear();
+  this->stored_jobs->clear();
+  this->stored_progress->clear();
 }
 
 // Workers that an earlier owner may have granted a lease; false if the row is a
 // later owner's.
-bool Manager::TakeLeases(const platform::Row& row) {
+bool ShardManager::LoadLeaseRecord(const platform::Row& row) {
   // A row that cannot be read is written anew, under its version.
   this->lease_version = row.version;
   const auto record = DecodeLeases(row.value);
@@ -213,12 +215,12 @@
     return false;
   // An own write whose answer was lost.
   if (record->epoch == this->epoch) {
-    this->recorded = NamesOf(*record);
-    this->scheduler.WorkersRecorded(this->recorded.held);
+    this->recorded_workers = RecordedWorkersOf(*record);
+    this->scheduler.WorkersRecorded(this->recorded_workers.held);
     return true;
   }
-  const base::Micros latest =
-      this->earlier_confirmed + WithClockSlack(this->GrantBound());
+  const base::Micros latest = this->earlier_confirmed +
+                              WithClockSlack(this->MaxLeaseAfterConfirmation());
   for (const LeaseHolder& holder : record->workers) {
     const base::Micros carried =
         this->store.LocalTime(holder.until_store_ms) + kStoreClockSlack;
@@ -231,10 +233,11 @@
   return true;
 }
 
-std::optional<scheduler::Job> Manager::MakeJob(const std::string& id,
-                                               const AcceptedJob& accepted,
-                                               jobs::Progress progress,
-                                               std::uint64_t version) const {
+std::optional<scheduler::Job> ShardManager::MakeJob(
+    const std::string& id,
+    const AcceptedJob& accepted,
+    jobs::Progress progress,
+    std::uint64_t version) const {
   const base::Micros offset = TimeOfDayOffset();
   try {
     scheduler::Job job = scheduler::MakeJob(
@@ -255,18 +258,18 @@
 
 // `take` gets the row, null if there is none. While the store does not answer,
 // the job is read again later.
-void Manager::ReadRowOf(const std::string& job,
-                        const platform::RowKey& at,
-                        std::function<void(const platform::Row* row)> take) {
+void ShardManager::ReadRow(const std::string& job,
+                           const platform::RowKey& at,
+                           std::function<void(const platform::Row* row)> take) {
   const platform::ReadQuery query{
       .table = at.table, .part = at.part, .from = job, .to = {}, .limit = 1};
   this->store.Read(
-      query, [this, job, take = std::move(take), lives = this->alive](
+      query, [this, job, take = std::move(take), alive = this->alive](
                  const std::optional<platform::ReadResult>& result) {
-        if (!*lives)
+        if (!*alive)
           return;
         if (!result) {
-          this->unread_jobs.insert(job);
+          this->jobs_to_reload.insert(job);
           return;
         }
         const bool is_there =
@@ -275,23 +278,23 @@
       });
 }
 
-void Manager::ReadJob(const std::string& job) {
-  this->ReadRowOf(job, ProgressRow(job), [this, job](const platform::Row* row) {
+void ShardManager::LoadJob(const std::string& job) {
+  this->ReadRow(job, ProgressRow(job), [this, job](const platform::Row* row) {
     const auto progress =
-        row ? ProgressOf(*row) : std::optional<jobs::Progress>();
+        row ? DecodeProgressRow(*row) : std::optional<jobs::Progress>();
     if (row && !progress)
       base::Log(base::Event::kRowMalformed, {{"row", job}});
     const bool is_over = !progress || progress->IsOver();
     if (is_over)
       this->scheduler.UnknownJobIsOver(job, base::MonotonicNow());
     else
-      this->ReadJobRow(job, *progress, row->version);
+      this->LoadAcceptedJob(job, *progress, row->version);
   });
 }
 
-void Manager::ReadJobRow(const std::string& job,
-                         const jobs::Progress& progress,
-                         std::uint64_t version) {
+void ShardManager::LoadAcceptedJob(const std::string& job,
+                                   const jobs::Progress& progress,
+                                   std::uint64_t version) {
   const auto take = [this, job, progress, version](const platform::Row* row) {
     const base::Micros now = base::MonotonicNow();
     const auto accepted =
@@ -304,29 +307,29 @@
       return;
     }
     this->scheduler.AddJob(std::move(*made), now);
-    if (this->cancels.contains(job))
+    if (this->cancelled_jobs.contains(job))
       this->scheduler.CancelJob(job, now);
-    this->ActSoon();
+    this->ScheduleCycle();
   };
-  this->ReadRowOf(job, JobRow(job, this->shard), take);
+  this->ReadRow(job, JobRow(job, this->shard), take);
 }
 
-void Manager::ReadJobsAgain() {
+void ShardManager::RetryJobReads() {
   const base::Micros now = base::MonotonicNow();
-  if (this->unread_jobs.empty() || now < this->next_job_read)
+  if (this->jobs_to_reload.empty() || now < this->next_job_reload)
     return;
-  this->next_job_read = now + kReadAgain;
-  for (const std::string& job : std::exchange(this->unread_jobs, {}))
-    this->ReadJob(job);
+  this->next_job_reload = now + kReadRetryDelay;
+  for (const std::string& job : std::exchange(this->jobs_to_reload, {}))
+    this->LoadJob(job);
 }
 
 // --- The store's news ---
 
-void Manager::TakeJobRow(const platform::Row& row) {
+void ShardManager::HandleJobRow(const platform::Row& row) {
   const base::Micros now = base::MonotonicNow();
   const JobKey key = ParseJobKey(row.at.key);
   if (key.is_cancel) {
-    this->cancels.insert(key.job);
+    this->cancelled_jobs.insert(key.job);
     this->scheduler.CancelJob(key.job, now);
     return;
   }
@@ -339,22 +342,22 @@
   auto job = this->MakeJob(key.job, *accepted, {}, row.version);
   if (job)
     this->scheduler.AddJob(std::move(*job), now);
-  if (this->cancels.contains(key.job))
+  if (this->cancelled_jobs.contains(key.job))
     this->scheduler.CancelJob(key.job, now);
 }
 
-void Manager::TakeWorkerRow(const platform::ChangedRow& changed) {
+void ShardManager::HandleWorkerRow(const platform::ChangedRow& changed) {
   const base::Micros now = base::MonotonicNow();
   const std::string& id = changed.row.at.key;
-  if (!this->announced)
-    this->announced.emplace();
-  const auto withdraw = [this, &id, now] {
-    this->announced->erase(id);
-    if (this->begun)
+  if (!this->registered_workers)
+    this->registered_workers.emplace();
+  const auto deregister = [this, &id, now] {
+    this->registered_workers->erase(id);
+    if (this->started)
       this->scheduler.WorkerDeregistered(id, now);
   };
   if (changed.removed) {
-    withdraw();
+    deregister();
     return;
   }
   try {
@@ -362,13 +365,13 @@
         platform::ParseWorker(id, changed.row.value);
     if (!HoldsBox(this->shard, info.box))
       return;
-    (*this->announced)[id] = info;
-    if (this->begun)
+    (*this->registered_workers)[id] = info;
+    if (this->started)
       this->scheduler.UpdateWorker(info, now);
   } catch (const platform::BadInput& problem) {
     base::Log(base::Event::kRowMalformed,
               {{"row", id}, {"problem", problem.what()}});
-    withdraw();
+    deregister();
   }
 }
 
