--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -114,11 +114,11 @@
 
 // --- Taking over ---
 
-void ShardManager::SetConfig(const jobs::Config& next) {
-  this->config = next;
+void ShardManager::SetConfig(const jobs::Config& config) {
+  this->config = config;
   this->has_config = true;
   if (this->started)
-    this->scheduler.SetConfig(next, base::MonotonicNow());
+    this->scheduler.SetConfig(config, base::MonotonicNow());
   else
     this->StartIfLoaded();
 }
@@ -194,10 +194,10 @@
                this->confirmed_at + this->MaxLeaseAfterConfirmation());
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
     const std::int64_t deadline = this->scheduler.LeaseDeadline(id, end);
-    const bool wanted = worker.has_listing && worker.is_lease_recorded &&
-                        !worker.idle() && worker.failed_calls == 0 &&
-                        deadline > 0;
-    if (!wanted)
+    const bool can_extend = worker.has_listing && worker.is_lease_recorded &&
+                            !worker.idle() && worker.failed_calls == 0 &&
+                            deadline > 0;
+    if (!can_extend)
       continue;
     this->scheduler.LeaseGranted(id, end);
     // The look that waits there for an end brings the news.
@@ -296,8 +296,8 @@
     void operator()(const scheduler::LoadJob& read) const {
       manager.LoadJob(read.job);
     }
-    void operator()(const scheduler::RequestAdvice& ask) const {
-      manager.RequestAdvice(ask);
+    void operator()(const scheduler::RequestAdvice& request) const {
+      manager.RequestAdvice(request);
     }
     void operator()(const scheduler::MoveBox& command) const {
       manager.box_calls.Add(command);
@@ -308,8 +308,8 @@
     void operator()(const scheduler::ReportWave& report) const {
       manager.waves.Report(report);
     }
-    void operator()(const scheduler::JobFinished& over) const {
-      LogJobOver(over);
+    void operator()(const scheduler::JobFinished& finished) const {
+      LogJobOver(finished);
     }
     void operator()(const scheduler::WorkerLost& lost) const {
       manager.counters.Add(base::Counter::kWorkersLost);
@@ -318,8 +318,8 @@
     void operator()(const scheduler::WorkerRestarted& restarted) const {
       LogWorkerRestarted(restarted);
     }
-    void operator()(const scheduler::RunEndIgnored& skipped) const {
-      LogEndSkipped(skipped);
+    void operator()(const scheduler::RunEndIgnored& ignored) const {
+      LogEndSkipped(ignored);
     }
     void operator()(const scheduler::TaskGivenUp& task) const {
       manager.counters.Add(base::Counter::kTasksGivenUp);
@@ -339,10 +339,10 @@
 }
 
 void ShardManager::EnqueueCommand(Command command) {
-  const jobs::WorkerLife to =
+  const jobs::WorkerLife worker =
       std::visit([](const auto& one) { return one.worker; }, command);
-  this->command_queues[to].waiting.push_back(std::move(command));
-  this->SendNextCommand(to);
+  this->command_queues[worker].waiting.push_back(std::move(command));
+  this->SendNextCommand(worker);
 }
 
 void ShardManager::SendNextCommand(const jobs::WorkerLife& worker) {
@@ -373,13 +373,13 @@
 
 void ShardManager::CommandAnswered(const jobs::WorkerLife& worker,
                                    scheduler::CommandOutcome outcome) {
-  const bool silent = outcome == scheduler::CommandOutcome::kUnknown;
+  const bool is_unresponsive = outcome == scheduler::CommandOutcome::kUnknown;
   CommandQueue& queue = this->command_queues[worker];
   queue.in_flight = false;
   // A worker that does not answer holds nothing up: starts that have not left
   // go elsewhere.
   std::deque<Command> waiting;
-  if (silent)
+  if (is_unresponsive)
     waiting.swap(queue.waiting);
   for (Command& command : waiting) {
     if (const auto* start = std::get_if<scheduler::StartRun>(&command)) {
@@ -404,8 +404,8 @@
       std::min(std::max(known->latest_lease_end, now + kMinStartLease),
                this->scheduler.LeaseEnd(now));
   const std::int64_t deadline = this->scheduler.LeaseDeadline(worker, end);
-  const bool wanted = this->scheduler.IsStillNeeded(command);
-  if (deadline <= 0 || end <= now || !wanted) {
+  const bool is_needed = this->scheduler.IsStillNeeded(command);
+  if (deadline <= 0 || end <= now || !is_needed) {
     this->scheduler.StartAnswered(command, scheduler::CommandOutcome::kNotSent,
                                   now);
     this->command_queues[worker].in_flight = false;
@@ -481,14 +481,15 @@
       });
 }
 
-void ShardManager::RequestAdvice(const scheduler::RequestAdvice& ask) {
-  this->advisor.Ask(ask, [this, ask, alive = this->alive](
-                             const std::optional<scheduler::Advice>& advice) {
-    if (!*alive)
-      return;
-    this->scheduler.AdviceAnswered(ask, advice, base::MonotonicNow());
-    this->ScheduleCycle();
-  });
+void ShardManager::RequestAdvice(const scheduler::RequestAdvice& request) {
+  this->advisor.Ask(
+      request, [this, request, alive = this->alive](
+                   const std::optional<scheduler::Advice>& advice) {
+        if (!*alive)
+          return;
+        this->scheduler.AdviceAnswered(request, advice, base::MonotonicNow());
+        this->ScheduleCycle();
+      });
 }
 
 }  // namespace quartzhoist::entry
--- a/entry/manager.h
+++ b/entry/manager.h
@@ -82,7 +82,7 @@
   // carried from earlier ones.
   struct RecordedWorkers {
     std::vector<jobs::WorkerLife> held;
-    std::vector<jobs::WorkerLife> carried;
+    std::vector<jobs::WorkerLife> inherited;
 
     bool operator==(const RecordedWorkers&) const = default;
   };
@@ -123,18 +123,18 @@
   void CommandAnswered(const jobs::WorkerLife& worker,
                        scheduler::CommandOutcome outcome);
   void SendPoll(const scheduler::PollWorker& command);
-  void RequestAdvice(const scheduler::RequestAdvice& ask);
+  void RequestAdvice(const scheduler::RequestAdvice& request);
   void LoadJob(const std::string& job);
   void ReadRow(const std::string& job,
                const platform::RowKey& at,
-               std::function<void(const platform::Row* row)> take);
+               std::function<void(const platform::Row* row)> on_read);
   void LoadAcceptedJob(const std::string& job,
                        const jobs::Progress& progress,
                        std::uint64_t version);
   void RetryJobReads();
   void LogBoxCall(const char* call,
                   const std::string& box,
-                  const scheduler::BoxCallContext& evidence) const;
+                  const scheduler::BoxCallContext& context) const;
   BoxCalls::Events BoxCallEvents();
   void RecordBoxCalls();
   void SendBoxCall(const scheduler::MoveBox& command);
@@ -149,13 +149,13 @@
   void RecordWorkers();
   LeaseRecord MakeLeaseRecord(base::Micros now) const;
   static RecordedWorkers RecordedWorkersOf(const LeaseRecord& record);
-  void HandleRecordResult(const RecordedWorkers& names,
+  void HandleRecordResult(const RecordedWorkers& recorded,
                           std::uint64_t change,
                           const platform::WriteResult& result);
   void WriteWaitingCounts();
   void LogPoolStates();
   void ListBoxes(const std::string& page,
-                 std::vector<scheduler::BoxInfo> listed,
+                 std::vector<scheduler::BoxInfo> boxes_so_far,
                  base::Micros asked);
   platform::OrderTo AddresseeOf(const jobs::WorkerLife& worker) const;
   std::optional<scheduler::Job> MakeJob(const std::string& id,
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -59,16 +59,16 @@
 // other line.
 void ShardManager::LogBoxCall(const char* call,
                               const std::string& box,
-                              const scheduler::BoxCallContext& evidence) const {
+                              const scheduler::BoxCallContext& context) const {
   base::Log(base::Event::kBoxAsked,
             {{"call", call},
              {"box", box},
              {"epoch", this->epoch},
-             {"confirmed_ms", base::Millis(evidence.confirmed_ago)},
-             {"heard_ms", evidence.last_answer_ago < base::Micros::zero()
+             {"confirmed_ms", base::Millis(context.confirmed_ago)},
+             {"heard_ms", context.last_answer_ago < base::Micros::zero()
                               ? -1
-                              : base::Millis(evidence.last_answer_ago)},
-             {"presumed_over", evidence.runs_presumed_over}});
+                              : base::Millis(context.last_answer_ago)},
+             {"presumed_over", context.runs_presumed_over}});
 }
 
 void ShardManager::SendBoxCall(const scheduler::MoveBox& command) {
@@ -113,29 +113,29 @@
 }
 
 void ShardManager::ListBoxes(const std::string& page,
-                             std::vector<scheduler::BoxInfo> listed,
+                             std::vector<scheduler::BoxInfo> boxes_so_far,
                              base::Micros asked) {
-  this->boxes.List(
-      page, [this, listed = std::move(listed), asked, alive = this->alive](
-                std::optional<platform::BoxPage> result) mutable {
-        if (!*alive)
-          return;
-        if (!result) {
-          this->listing_boxes = false;
-          return;
-        }
-        for (scheduler::BoxInfo& box : result->boxes) {
-          if (HoldsBox(this->shard, box.name))
-            listed.push_back(std::move(box));
-        }
-        if (!result->next.empty()) {
-          this->ListBoxes(result->next, std::move(listed), asked);
-          return;
-        }
-        this->listing_boxes = false;
-        this->scheduler.SetBoxes(listed, asked, base::MonotonicNow());
-        this->ScheduleCycle();
-      });
+  this->boxes.List(page, [this, boxes_so_far = std::move(boxes_so_far), asked,
+                          alive = this->alive](
+                             std::optional<platform::BoxPage> result) mutable {
+    if (!*alive)
+      return;
+    if (!result) {
+      this->listing_boxes = false;
+      return;
+    }
+    for (scheduler::BoxInfo& box : result->boxes) {
+      if (HoldsBox(this->shard, box.name))
+        boxes_so_far.push_back(std::move(box));
+    }
+    if (!result->next.empty()) {
+      this->ListBoxes(result->next, std::move(boxes_so_far), asked);
+      return;
+    }
+    this->listing_boxes = false;
+    this->scheduler.SetBoxes(boxes_so_far, asked, base::MonotonicNow());
+    this->ScheduleCycle();
+  });
 }
 
 }  // namespace quartzhoist::entry
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -139,11 +139,11 @@
     return;
   this->next_lease_write = now + kMinLeaseWriteInterval;
   const LeaseRecord record = this->MakeLeaseRecord(now);
-  const RecordedWorkers names = RecordedWorkersOf(record);
-  if (names == this->recorded_workers) {
+  const RecordedWorkers recorded = RecordedWorkersOf(record);
+  if (recorded == this->recorded_workers) {
     // One that went and came back stands in the list as it was.
     this->recorded_worker_changes = change;
-    this->scheduler.WorkersRecorded(names.held);
+    this->scheduler.WorkersRecorded(recorded.held);
     return;
   }
   const platform::RowKey row = SmallRow(kLeaseTable, kLeaseKey, this->shard);
@@ -152,12 +152,12 @@
       .puts = {{.at = row, .value = EncodeLeases(record)}},
       .removes = {}};
   this->lease_write_in_flight = true;
-  this->store.Write(write, [this, names, change, alive = this->alive](
+  this->store.Write(write, [this, recorded, change, alive = this->alive](
                                const platform::WriteResult& result) {
     if (!*alive)
       return;
     this->lease_write_in_flight = false;
-    this->HandleRecordResult(names, change, result);
+    this->HandleRecordResult(recorded, change, result);
   });
 }
 
@@ -176,22 +176,23 @@
 
 ShardManager::RecordedWorkers ShardManager::RecordedWorkersOf(
     const LeaseRecord& record) {
-  RecordedWorkers names;
+  RecordedWorkers recorded;
   for (const LeaseHolder& holder : record.workers)
-    (holder.held ? names.held : names.carried).push_back(holder.worker.life);
-  return names;
+    (holder.held ? recorded.held : recorded.inherited)
+        .push_back(holder.worker.life);
+  return recorded;
 }
 
-void ShardManager::HandleRecordResult(const RecordedWorkers& names,
+void ShardManager::HandleRecordResult(const RecordedWorkers& recorded,
                                       std::uint64_t change,
                                       const platform::WriteResult& result) {
   const base::Micros now = base::MonotonicNow();
   switch (result.outcome) {
     case platform::WriteOutcome::kDone:
       this->lease_version = result.version;
-      this->recorded_workers = names;
+      this->recorded_workers = recorded;
       this->recorded_worker_changes = change;
-      this->scheduler.WorkersRecorded(names.held);
+      this->scheduler.WorkersRecorded(recorded.held);
       this->ScheduleCycle();
       return;
     case platform::WriteOutcome::kConflict:
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -25,8 +25,8 @@
 constexpr base::Micros kStoreClockSlack = milliseconds(1000);
 
 std::optional<jobs::Progress> DecodeProgressRow(const platform::Row& row) {
-  const auto kept = DecodeKept(row.value);
-  return kept ? jobs::DecodeProgress(kept->text) : std::nullopt;
+  const auto stored = DecodeKept(row.value);
+  return stored ? jobs::DecodeProgress(stored->text) : std::nullopt;
 }
 
 }  // namespace
@@ -102,24 +102,24 @@
 void ShardManager::ReadStoredState() {
   if (this->started)
     return;
-  const auto read = [this](std::string_view table,
-                           const std::vector<std::string>& parts,
-                           std::optional<std::vector<platform::Row>>& into) {
-    // A slow store may still be at the last one.
-    if (into || !this->tables_being_read.emplace(table).second)
-      return;
-    platform::ReadTable(this->store, std::string(table), parts,
-                        [this, &into, table, alive = this->alive](
-                            std::optional<platform::TableContent> content) {
-                          if (!*alive)
-                            return;
-                          this->tables_being_read.erase(std::string(table));
-                          if (content)
-                            into = std::move(content->rows);
-                          this->ReadStoredState();
-                          this->StartIfLoaded();
-                        });
-  };
+  const auto read =
+      [this](std::string_view table, const std::vector<std::string>& parts,
+             std::optional<std::vector<platform::Row>>& destination) {
+        // A slow store may still be at the last one.
+        if (destination || !this->tables_being_read.emplace(table).second)
+          return;
+        platform::ReadTable(this->store, std::string(table), parts,
+                            [this, &destination, table, alive = this->alive](
+                                std::optional<platform::TableContent> content) {
+                              if (!*alive)
+                                return;
+                              this->tables_being_read.erase(std::string(table));
+                              if (content)
+                                destination = std::move(content->rows);
+                              this->ReadStoredState();
+                              this->StartIfLoaded();
+                            });
+      };
   read(kProgressTable, JobParts(), this->stored_progress);
   // The list of workers after the progress: an earlier owner that has not
   // noticed its loss lists a worker before it places anything there. Read at
@@ -178,19 +178,21 @@
       continue;
     }
     const auto found = progress.find(key.job);
-    const bool is_kept = found != progress.end();
+    const bool has_progress = found != progress.end();
     const auto accepted = DecodeAccepted(row.value);
-    auto kept = is_kept ? DecodeProgressRow(*found->second)
-                        : std::optional<jobs::Progress>(jobs::Progress{});
-    if (!accepted || !kept) {
+    auto stored = has_progress
+                      ? DecodeProgressRow(*found->second)
+                      : std::optional<jobs::Progress>(jobs::Progress{});
+    if (!accepted || !stored) {
       base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
       continue;
     }
     // Runs of a job that failed or was cancelled may still take room.
-    if (kept->IsOver())
+    if (stored->IsOver())
       continue;
-    auto job = this->MakeJob(key.job, *accepted, std::move(*kept),
-                             is_kept ? found->second->version : row.version);
+    auto job =
+        this->MakeJob(key.job, *accepted, std::move(*stored),
+                      has_progress ? found->second->version : row.version);
     if (!job)
       continue;
     this->scheduler.AddJob(std::move(*job), now);
@@ -219,16 +221,18 @@
     this->scheduler.WorkersRecorded(this->recorded_workers.held);
     return true;
   }
-  const base::Micros latest = this->earlier_confirmed +
-                              WithClockSlack(this->MaxLeaseAfterConfirmation());
+  const base::Micros latest_end =
+      this->earlier_confirmed +
+      WithClockSlack(this->MaxLeaseAfterConfirmation());
   for (const LeaseHolder& holder : record->workers) {
-    const base::Micros carried =
+    const base::Micros recorded_end =
         this->store.LocalTime(holder.until_store_ms) + kStoreClockSlack;
     // A time that was not known is no bound.
     const bool is_bounded =
         !holder.held && holder.until_store_ms > 0 && this->store.knows_clock();
     this->scheduler.InheritWorker(
-        holder.worker, is_bounded ? std::min(latest, carried) : latest);
+        holder.worker,
+        is_bounded ? std::min(latest_end, recorded_end) : latest_end);
   }
   return true;
 }
@@ -258,13 +262,14 @@
 
 // `take` gets the row, null if there is none. While the store does not answer,
 // the job is read again later.
-void ShardManager::ReadRow(const std::string& job,
-                           const platform::RowKey& at,
-                           std::function<void(const platform::Row* row)> take) {
+void ShardManager::ReadRow(
+    const std::string& job,
+    const platform::RowKey& at,
+    std::function<void(const platform::Row* row)> on_read) {
   const platform::ReadQuery query{
       .table = at.table, .part = at.part, .from = job, .to = {}, .limit = 1};
   this->store.Read(
-      query, [this, job, take = std::move(take), alive = this->alive](
+      query, [this, job, on_read = std::move(on_read), alive = this->alive](
                  const std::optional<platform::ReadResult>& result) {
         if (!*alive)
           return;
@@ -272,9 +277,9 @@
           this->jobs_to_reload.insert(job);
           return;
         }
-        const bool is_there =
+        const bool exists =
             !result->rows.empty() && result->rows.front().at.key == job;
-        take(is_there ? &result->rows.front() : nullptr);
+        on_read(exists ? &result->rows.front() : nullptr);
       });
 }
 
@@ -295,23 +300,24 @@
 void ShardManager::LoadAcceptedJob(const std::string& job,
                                    const jobs::Progress& progress,
                                    std::uint64_t version) {
-  const auto take = [this, job, progress, version](const platform::Row* row) {
+  const auto on_read = [this, job, progress,
+                        version](const platform::Row* row) {
     const base::Micros now = base::MonotonicNow();
     const auto accepted =
         row ? DecodeAccepted(row->value) : std::optional<AcceptedJob>();
-    auto made = accepted ? this->MakeJob(job, *accepted, progress, version)
-                         : std::optional<scheduler::Job>();
-    if (!made) {
+    auto loaded = accepted ? this->MakeJob(job, *accepted, progress, version)
+                           : std::optional<scheduler::Job>();
+    if (!loaded) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
       this->scheduler.UnknownJobIsOver(job, now);
       return;
     }
-    this->scheduler.AddJob(std::move(*made), now);
+    this->scheduler.AddJob(std::move(*loaded), now);
     if (this->cancelled_jobs.contains(job))
       this->scheduler.CancelJob(job, now);
     this->ScheduleCycle();
   };
-  this->ReadRow(job, JobRow(job, this->shard), take);
+  this->ReadRow(job, JobRow(job, this->shard), on_read);
 }
 
 void ShardManager::RetryJobReads() {
