--- a/entry/box_calls.cc
+++ b/entry/box_calls.cc
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 constexpr base::Micros kRetryDelay = milliseconds(200);
-// What is settled is removed with the next call that is recorded, or after
-// this, so that a height of moves costs a write for each plan and not two. A
-// moved box serves again after 1.5 s (move_s): nothing runs on it before.
+// Settled calls are removed with the next record, or after this delay, so that
+// a burst of moves costs one write per plan instead of two. A moved box serves
+// again after 1.5 s (move_s); nothing runs on it before.
 constexpr base::Micros kRemovalDelay = milliseconds(500);
 
 std::string BoxOf(const scheduler::BoxCall& call) {
@@ -95,7 +95,8 @@
       });
 }
 
-// An earlier owner's write that is still on its way does not fit any more.
+// Writing the row changes its version, so that a write of an earlier owner that
+// is still in flight fails its condition.
 void BoxCalls::Claim() {
   this->Write(this->recorded, [this](const platform::WriteResult& result) {
     this->HandleClaimResult(result);
@@ -116,7 +117,7 @@
         this->Claim();
       return;
     case platform::WriteOutcome::kUnknown:
-      // The wait for its answer was long enough.
+      // The write timed out; it is retried without a further delay.
       this->Claim();
       return;
     case platform::WriteOutcome::kNotDone:
@@ -135,7 +136,8 @@
   this->events.on_claimed(calls);
 }
 
-// The write that was in the way is the one that was made, with its answer lost.
+// The conflicting row if it holds this owner's last write, whose response was
+// lost; null otherwise.
 const platform::Row* BoxCalls::FindOwnWrite(
     const platform::WriteResult& result) const {
   const bool is_own = !result.rows.empty() &&
@@ -170,7 +172,7 @@
       }
       break;
     case platform::WriteOutcome::kUnknown:
-      // The wait for its answer was long enough.
+      // The write timed out; it is retried without a further delay.
       break;
     case platform::WriteOutcome::kNotDone:
       this->next_attempt = base::MonotonicNow() + kRetryDelay;
@@ -195,7 +197,7 @@
 }
 
 bool BoxCalls::LoadRow(const platform::Row& found) {
-  // A row that cannot be read is written anew, under its version.
+  // A malformed row is overwritten, on condition of its version.
   this->version = found.version;
   const auto record = DecodeBoxCalls(found.value);
   if (!record) {
@@ -204,7 +206,7 @@
   }
   if (record->epoch > this->epoch)
     return false;
-  // Once it is claimed, nobody else's calls come into it.
+  // No other owner can add calls to a claimed row.
   if (this->is_claimed)
     return true;
   this->recorded.clear();
--- a/entry/box_calls.h
+++ b/entry/box_calls.h
@@ -1,6 +1,7 @@
-// What a shard's owner is about to ask of boxes, in a row of the store that is
-// written before each call. A box takes an earlier owner's call until the next
-// owner has called it: the row tells that one which boxes these are.
+// Write-ahead record of the box calls of a shard's owner: a store row that is
+// written before each call is made. A box accepts calls of an earlier owner
+// until the next owner has called it, and the row tells the next owner which
+// boxes to call.
 
 #ifndef ENTRY_BOX_CALLS_H_
 #define ENTRY_BOX_CALLS_H_
@@ -22,12 +23,12 @@
 class BoxCalls {
  public:
   struct Events {
-    // The row is this owner's: no earlier one records anything from now on.
-    // These are the calls that they recorded and did not see settled.
+    // The row is claimed: no earlier owner can record a call any more. Passes
+    // the calls that earlier owners recorded and did not settle.
     std::function<void(const std::vector<scheduler::BoxCall>&)> on_claimed;
     // The call is recorded and may be made.
     std::function<void(const scheduler::BoxCall&)> on_recorded;
-    // It cannot be recorded, and must not be made.
+    // The store rejected the record: the call must not be made.
     std::function<void(const scheduler::BoxCall&)> on_rejected;
     // A later owner has claimed the row.
     std::function<void()> on_fenced;
@@ -42,10 +43,10 @@
   BoxCalls& operator=(const BoxCalls&) = delete;
 
   bool claimed() const { return this->is_claimed; }
-  // To be recorded with the next write. One call a box at a time.
+  // Queues a call for the next write. A box has at most one call at a time.
   void Add(const scheduler::BoxCall& call);
-  // Claims the row, records what waits, removes what is not open any more: its
-  // outcome is known, and a later owner need not know of it.
+  // Claims the row, records pending calls, and removes calls that are not open:
+  // their outcome is known, so that a later owner does not need them.
   void Sync(const std::function<bool(const std::string& box)>& is_open,
             base::Micros now);
 
@@ -60,7 +61,7 @@
   void Record();
   void HandleRecordResult(const platform::WriteResult& result);
   void FinishRecord(const CallsByBox& written, std::uint64_t row_version);
-  // False if the row is a later owner's.
+  // Returns false if the row was written by a later owner.
   bool LoadRow(const platform::Row& row);
   void Write(const CallsByBox& calls,
              std::function<void(const platform::WriteResult&)> done);
@@ -70,17 +71,17 @@
   std::uint64_t epoch;
   Events events;
   bool is_claimed = false;
-  bool store_call_in_flight = false;  // a call to the store is on its way
+  bool store_call_in_flight = false;
   bool has_read = false;
   std::uint64_t version = 0;
-  std::string last_written_value;  // of the last write
-  CallsByBox pending;              // to be recorded
-  CallsByBox being_written;        // of them, with the write on its way
-  CallsByBox recorded;  // the earlier owners' among them, and not settled
-  bool row_has_settled_calls = false;  // the row names some that are settled
+  std::string last_written_value;
+  CallsByBox pending;        // not written yet
+  CallsByBox being_written;  // the write is in flight
+  CallsByBox recorded;       // and not settled; includes earlier owners' calls
+  bool row_has_settled_calls = false;
   base::Micros next_attempt{};
   base::Micros next_removal{};
-  // Calls still on their way when this is destroyed find it unset.
+  // Set to false on destruction; callbacks of store calls in flight check it.
   std::shared_ptr<bool> alive;
 };
 
--- a/entry/box_calls_test.cc
+++ b/entry/box_calls_test.cc
@@ -1,4 +1,4 @@
-// What owners that follow one another learn of each other's calls for boxes.
+// Tests that successive owners of a shard learn of each other's box calls.
 
 #include <chrono>
 #include <string>
@@ -22,7 +22,7 @@
   return std::visit([](const auto& one) { return one.box; }, call);
 }
 
-// An owner of the only shard, and what it was told.
+// An owner of the only shard. Keeps the boxes of the calls in each event.
 struct Owner {
   Owner(StoreBench& store_bench, std::uint64_t epoch)
       : bench(store_bench),
@@ -44,7 +44,7 @@
                    },
                .on_fenced = [this] { this->fenced = true; }}) {}
 
-  // Acts until this condition; false if it does not within some seconds.
+  // Calls Sync() until the condition holds; returns false after 5 s.
   bool SyncUntil(const std::function<bool()>& condition) {
     return this->bench.Within(seconds(5), [&] {
       this->calls.Sync(
@@ -74,8 +74,8 @@
 
 }  // namespace
 
-// The first owner stands still with two calls under way: the next one knows
-// both, and the first records, and so makes, no further one.
+// A suspended owner has two calls pending. The next owner must inherit both,
+// and the first must not record, and therefore not make, another call.
 BOOST_AUTO_TEST_CASE(PendingCallsAreInheritedByNextOwner) {
   StoreBench bench;
   Owner first(bench, 1);
@@ -93,13 +93,13 @@
       scheduler::MaintainBox{.box = "c", .wave = 7, .life = {.id = "c-1"}});
   BOOST_TEST(first.SyncUntil([&] { return first.fenced; }));
   BOOST_TEST(first.recorded.size() == 2U);
-  // The third knows what the second has not settled.
+  // The third owner inherits the calls that the second has not settled.
   Owner third(bench, 3);
   BOOST_REQUIRE(third.ClaimsRow());
   BOOST_TEST(third.inherited == kBothBoxes);
 }
 
-// A call whose outcome is known leaves the row.
+// A call whose outcome is known must be removed from the row.
 BOOST_AUTO_TEST_CASE(SettledCallsAreNotInherited) {
   StoreBench bench;
   Owner first(bench, 1);
@@ -114,8 +114,8 @@
   }));
 }
 
-// Answers of the store are lost and refused: each call is made once, after its
-// record.
+// Writes are refused or cut off, or their responses are lost. Each call must be
+// released exactly once, after it is recorded.
 BOOST_AUTO_TEST_CASE(CallIsReleasedOnceDespiteFailedWrites) {
   using Mood = StoreStandin::Mood;
   StoreBench bench;
@@ -130,7 +130,8 @@
   BOOST_TEST(!owner.fenced);
 }
 
-// Every write is made and none is answered: the row tells what was made.
+// Every write is carried out but no response arrives. The owner must detect its
+// own write from the conflicting row.
 BOOST_AUTO_TEST_CASE(WriteWithLostAnswerIsFoundInConflictingRow) {
   StoreBench bench;
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
@@ -140,7 +141,7 @@
   BOOST_TEST(owner.RecordsCalls(1));
 }
 
-// A row that cannot be read is written anew, and claimed.
+// A malformed row must be overwritten and claimed.
 BOOST_AUTO_TEST_CASE(MalformedRowIsClaimed) {
   StoreBench bench;
   bench.standin.Put(SmallRow(kBoxTable, kBoxKey, {}), "{\"epoch\":[]");
