--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -17,28 +17,30 @@
 
 using std::chrono::milliseconds;
 
-// What a lease is granted for: past the time in which another owner takes over
-// (1.3 to 1.9 s and its looks), short enough that a dead worker's tasks start
-// again.
+// Longer than a takeover by another owner (1.3 to 1.9 s plus its first polls),
+// short enough that the tasks of a dead worker are restarted soon.
 constexpr base::Micros kLeaseDuration = milliseconds(4000);
-// What a start grants at least: until the worker's next look has been answered.
-// Starts do not renew, or a worker that has died would seem leased for longer.
+// Minimum lease granted by a start, which lasts until the worker's next poll is
+// answered. Starts do not renew leases: a worker that has died would then count
+// as leased for longer.
 constexpr base::Micros kMinStartLease = milliseconds(2500);
-// The ownership is in doubt this long before orders stop. A slow store's
-// confirmations (some 0.4 s) leave 0.3 s, a quick one's 0.69 s.
+// The ownership counts as expiring this long before commands stop.
+// Confirmations from a slow store (about 0.4 s) leave a margin of 0.3 s, those
+// from a fast store 0.69 s.
 constexpr base::Micros kExpiryMargin = milliseconds(350);
 constexpr base::Micros kBoxListPeriod = milliseconds(1500);
 
-// Where orders stop before another may take over, no lease that they grant
-// lasts longer than this after a confirmation.
+// Maximum time from an ownership confirmation to the end of a lease. If epochs
+// are not checked, commands stop before another owner may take over, so that
+// the last lease is granted within kOwnerSilence.
 base::Micros MaxLeaseAfterConfirmationFor(const Settings& settings) {
   if (settings.deployment.epochs_checked)
     return kGrantBound;
   return std::min(kGrantBound, kOwnerSilence + settings.longest_lease);
 }
 
-// In doubt an owner that stops itself grants the longest lease there is; any
-// other grants the usual one.
+// An owner whose commands stop when its ownership expires extends leases to the
+// longest one shortly before. Any other owner grants the usual lease.
 base::Micros MaxGrantFor(const Settings& settings) {
   return settings.deployment.epochs_checked
              ? std::min(kLeaseDuration, settings.longest_lease)
@@ -112,7 +114,7 @@
   *this->alive = false;
 }
 
-// --- Taking over ---
+// --- Configuration and ownership events ---
 
 void ShardManager::SetConfig(const jobs::Config& config) {
   this->config = config;
@@ -134,15 +136,17 @@
   this->scheduler.OwnershipConfirmed(asked, this->authority.certain_until());
 }
 
-// --- Whether orders may leave ---
+// --- Whether commands may be sent ---
 
 bool ShardManager::MaySendCommands() const {
   return base::MonotonicNow() < this->authority.commands_until();
 }
 
-// A worker refuses an earlier owner's orders from the next one's first look on.
-// A box takes them until the next one calls it: an owner that stood still sent
-// five upkeeps 2.8 s after another had begun as many as the wave allows.
+// Workers refuse an earlier owner's commands once the next owner has polled
+// them, but a box accepts them until the next owner calls it. Box calls
+// therefore require a certain ownership: without this check, a suspended owner
+// started maintenance of five boxes 2.8 s after its successor had started as
+// many as the wave allows.
 bool ShardManager::IsOwnershipCertain() const {
   return base::MonotonicNow() < this->authority.certain_until();
 }
@@ -156,9 +160,8 @@
   return MaxLeaseAfterConfirmationFor(this->settings);
 }
 
-// Others may take over cycle_timer: what is on its way to workers and boxes is
-// called back, and nothing further leaves until the store confirms the
-// ownership.
+// Another owner may take over soon: requests in flight to workers and boxes are
+// aborted, and none is sent until the store confirms the ownership.
 void ShardManager::SuspendCommands() {
   if (this->commands_suspended)
     return;
@@ -181,9 +184,10 @@
     this->SendNextCommand(worker);
 }
 
-// The store has not confirmed the ownership when it should have: before orders
-// must stop, what runs gets the longest lease, so that a store that is away for
-// all interrupts nothing. If another has taken over, it renews or stops it.
+// The store has not confirmed the ownership in time. Before commands must stop,
+// workers with runs are granted the longest lease, so that a store that is
+// unavailable to all daemons interrupts no run. If another owner has taken
+// over, it renews the leases or stops the runs.
 void ShardManager::ExtendLeasesBeforeExpiry() {
   if (this->leases_extended)
     return;
@@ -200,7 +204,7 @@
     if (!can_extend)
       continue;
     this->scheduler.LeaseGranted(id, end);
-    // The look that waits there for an end brings the news.
+    // The report is ignored: the pending long poll delivers run ends.
     this->workers.Look(
         this->AddresseeOf(id),
         {.worker = id, .acknowledged = 0, .max_wait = {}, .renews_lease = true},
@@ -210,8 +214,8 @@
 
 // --- Actions ---
 
-// News that comes together is acted on together; a turn walks over all workers,
-// so that turns keep a distance.
+// Events that arrive together are handled in one cycle. A cycle visits all
+// workers, so a minimum gap is kept between cycles.
 void ShardManager::ScheduleCycle() {
   if (this->cycle_is_scheduled)
     return;
@@ -362,7 +366,8 @@
              command);
 }
 
-// The life that they were meant for is over: none of them leaves.
+// The commands were for an incarnation of the worker that is gone; none is
+// sent.
 void ShardManager::ReportNotSent(const std::deque<Command>& commands) {
   for (const Command& command : commands) {
     if (const auto* start = std::get_if<scheduler::StartRun>(&command))
@@ -376,8 +381,8 @@
   const bool is_unresponsive = outcome == scheduler::CommandOutcome::kUnknown;
   CommandQueue& queue = this->command_queues[worker];
   queue.in_flight = false;
-  // A worker that does not answer holds nothing up: starts that have not left
-  // go elsewhere.
+  // An unresponsive worker must not delay tasks: its queued starts are returned
+  // to the scheduler, which places them elsewhere.
   std::deque<Command> waiting;
   if (is_unresponsive)
     waiting.swap(queue.waiting);
@@ -390,7 +395,8 @@
     }
   }
   this->SendNextCommand(worker);
-  // What was carried out frees nothing: a listing will tell its end.
+  // A command that was carried out frees no capacity; the worker's report will
+  // list the end of the run.
   if (outcome != scheduler::CommandOutcome::kDone)
     this->ScheduleCycle();
 }
@@ -399,7 +405,7 @@
                         const scheduler::StartRun& command) {
   const base::Micros now = base::MonotonicNow();
   const scheduler::Worker* known = this->scheduler.FindWorker(worker);
-  // Looks renew the lease; a start only sees that it has one.
+  // Polls renew the lease; a start only ensures the minimum.
   const base::Micros end =
       std::min(std::max(known->latest_lease_end, now + kMinStartLease),
                this->scheduler.LeaseEnd(now));
--- a/entry/manager.h
+++ b/entry/manager.h
@@ -1,6 +1,6 @@
-// What the owner of a shard does: reads what is kept, then carries the
-// scheduler's actions out and tells it what came of them. Made when the
-// ownership is gained, destroyed when it is lost.
+// Runs the scheduler of a shard that this daemon owns: loads the stored state,
+// performs the scheduler's actions and passes their results back to it. Created
+// when the ownership is gained, destroyed when it is lost.
 
 #ifndef ENTRY_MANAGER_H_
 #define ENTRY_MANAGER_H_
@@ -37,17 +37,17 @@
 
 class ShardManager {
  public:
-  // What the ownership allows, and how the manager tells that it is over.
+  // Time limits set by the ownership, and the report that it is lost.
   struct Authority {
-    // Orders to workers may leave before this.
+    // Commands to workers may be sent before this time.
     std::function<base::Micros()> commands_until;
-    // Nobody else takes over before this: calls for boxes may leave.
+    // No other owner takes over before this time. Box calls may be sent.
     std::function<base::Micros()> certain_until;
-    // A worker or the platform has seen a higher epoch.
+    // A worker or the platform reported a higher epoch.
     std::function<void()> on_fenced;
   };
 
-  // No owner before this one was confirmed after `earlier_confirmed`.
+  // The ownership of no earlier owner was confirmed after `earlier_confirmed`.
   ShardManager(base::Loop& loop,
                platform::Store& store,
                base::Counters& counters,
@@ -62,24 +62,25 @@
 
   void SetConfig(const jobs::Config& config);
   void SetWave(const scheduler::Wave& wave);
+  // The store confirmed the ownership; the request was sent at `asked`.
   void OwnershipConfirmed(base::Micros asked);
 
-  // How the shard stands, for those who choose among shards.
+  // Current load of the shard, on which the choice among shards is based.
   ShardLoad Load() const;
-  // For the state dump, as JSON.
+  // JSON for the state dump.
   std::string Dump() const;
 
  private:
   using Command = std::
       variant<scheduler::StartRun, scheduler::StopRun, scheduler::ThrottleRun>;
-  // Orders to one worker go one after the other over one connection.
+  // Commands to a worker are sent one at a time, over one connection.
   struct CommandQueue {
     std::deque<Command> waiting;
     bool in_flight = false;
   };
 
-  // Workers of the list of those that may hold a lease: held by this owner, and
-  // carried from earlier ones.
+  // Workers in the stored lease record: those that have reported to this owner,
+  // and those inherited from earlier owners.
   struct RecordedWorkers {
     std::vector<jobs::WorkerLife> held;
     std::vector<jobs::WorkerLife> inherited;
@@ -87,7 +88,7 @@
     bool operator==(const RecordedWorkers&) const = default;
   };
 
-  // Taking over: what is kept is read first.
+  // Takeover: the stored state is loaded before anything is scheduled.
   void StartTakeover();
   void ReadStoredState();
   void StartIfLoaded();
@@ -95,11 +96,11 @@
   void AddStoredWorkers();
   bool LoadLeaseRecord(const platform::Row& row);
 
-  // The store's news.
+  // Changes in the store.
   void HandleJobRow(const platform::Row& row);
   void HandleWorkerRow(const platform::ChangedRow& changed);
 
-  // Whether orders may leave, and what follows when they may not.
+  // Whether commands may be sent, and the handling of times when they may not.
   bool MaySendCommands() const;
   bool IsOwnershipCertain() const;
   bool IsOwnershipExpiring() const;
@@ -108,7 +109,7 @@
   void ExtendLeasesBeforeExpiry();
   base::Micros MaxLeaseAfterConfirmation() const;
 
-  // Actions.
+  // The scheduler's actions.
   void RunCycle();
   void ScheduleCycle();
   void PerformActions();
@@ -171,7 +172,8 @@
   std::uint64_t epoch;
   base::Micros earlier_confirmed;
   Authority authority;
-  // Orders' own: what is closed takes along what is on its way.
+  // Separate from the store's client: closing its connections discards the
+  // requests in flight.
   http::Client command_client;
   platform::Workers workers;
   platform::Boxes boxes;
@@ -179,7 +181,7 @@
   scheduler::Scheduler scheduler;
   jobs::Config config;
 
-  // Read while taking over.
+  // Loaded during the takeover.
   bool started = false;
   bool has_config = false;
   std::set<std::string> tables_being_read;
@@ -194,19 +196,19 @@
   BoxCalls box_calls;
   std::vector<scheduler::BoxCall> inherited_box_calls;
 
-  std::set<std::string> cancelled_jobs;  // of jobs not known yet
-  // Jobs to be read anew: the store gave no answer.
+  std::set<std::string> cancelled_jobs;  // including jobs not loaded yet
+  // Jobs whose read got no answer from the store.
   std::set<std::string> jobs_to_reload;
   base::Micros next_job_reload{};
   std::map<jobs::WorkerLife, CommandQueue> command_queues;
   SaveQueue save_queue;
   int saves_in_flight = 0;
   SavePolicy save_policy;
-  RecordedWorkers recorded_workers;           // in the stored list
-  std::uint64_t recorded_worker_changes = 0;  // of the scheduler's workers
+  RecordedWorkers recorded_workers;           // as last written
+  std::uint64_t recorded_worker_changes = 0;  // worker_changes() at that time
   std::uint64_t lease_version = 0;
   bool lease_write_in_flight = false;
-  std::map<std::string, int> written_counts;  // as last written
+  std::map<std::string, int> written_counts;
   std::uint64_t count_version = 0;
   base::Micros confirmed_at{};
   base::Micros next_count_write{};
@@ -214,16 +216,16 @@
   base::Micros next_box_list{};
   base::Micros next_lease_write{};
   bool listing_boxes = false;
-  bool commands_suspended = false;  // the ownership is not certain now
-  bool leases_extended = false;     // since the store last confirmed it
+  bool commands_suspended = false;  // commands_until() has passed
+  bool leases_extended = false;     // since the last confirmation
   base::Timer tick_timer;
   base::Timer cycle_timer;
-  bool cycle_is_scheduled = false;  // `cycle_timer` is set
-  base::Micros cycle_start{};
-  base::Micros cycle_duration{};  // that the last turn took
+  bool cycle_is_scheduled = false;  // cycle_timer is set
+  base::Micros cycle_start{};       // of the latest cycle
+  base::Micros cycle_duration{};    // of the latest complete cycle
   std::unique_ptr<platform::TableFollower> job_follower;
   std::unique_ptr<platform::TableFollower> worker_follower;
-  // Calls still on their way when this is destroyed find it unset.
+  // Set to false on destruction; callbacks of calls in flight check it.
   std::shared_ptr<bool> alive;
 };
 
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -1,4 +1,5 @@
-// The owner's calls about boxes: moves, upkeeps, the platform's list.
+// Box calls of a shard's owner: moves, maintenance and the platform's list of
+// boxes.
 
 #include <utility>
 
@@ -55,8 +56,8 @@
       base::MonotonicNow());
 }
 
-// Before the call: one that its owner does not live to see answered leaves no
-// other line.
+// Logged before the call is made: if the owner dies before the response, this
+// is the only log line of the call.
 void ShardManager::LogBoxCall(const char* call,
                               const std::string& box,
                               const scheduler::BoxCallContext& context) const {
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -1,4 +1,4 @@
-// What the owner writes to the store.
+// Store writes of a shard's owner, and its load and state dump.
 
 #include <algorithm>
 #include <set>
@@ -23,14 +23,14 @@
 constexpr base::Micros kCountWritePeriod = seconds(1);
 constexpr base::Micros kPoolLogPeriod = seconds(1);
 constexpr base::Micros kLeaseWriteRetryDelay = milliseconds(200);
-// The list as it is cannot be written; it is tried again when it has changed
-// and some time has passed.
+// Delay after the store rejected the record's content, which may have changed
+// by then.
 constexpr base::Micros kLeaseWriteRejectedDelay = seconds(2);
-// The list is made and written this often at most: it names every worker.
+// Minimum interval between builds of the record, which names every worker.
 constexpr base::Micros kMinLeaseWriteInterval = milliseconds(40);
 constexpr int kMaxSavesInFlight = 2;
 
-// Of each reason, how many tasks wait and the longest of their waits in ms.
+// For each wait reason, the number of waiting tasks and the longest wait in ms.
 std::string FormatWaitReasons(const scheduler::PoolState& state) {
   std::string text;
   for (const auto& [reason, waiting] : state.waiting_for) {
@@ -84,7 +84,7 @@
         const base::Micros now = base::MonotonicNow();
         this->save_policy.Answered(result, CountParts(batch), now - sent, now);
         this->HandleSaveResult(batch, result);
-        // Placements that are recorded now are ordered at once.
+        // Placements that are now recorded are started without delay.
         this->PerformActions();
         this->ScheduleCycle();
       });
@@ -97,7 +97,8 @@
   std::map<std::string, const platform::Row*> rows;
   for (const platform::Row& row : result.rows)
     rows[row.at.key] = &row;
-  // One of them cannot be written as it is; the others can.
+  // The store rejected the content of at least one save. Each is written alone
+  // from now on, so that the others succeed.
   const bool is_batch_rejected =
       result.outcome == platform::WriteOutcome::kRefused && batch.size() > 1;
   for (const scheduler::SaveProgress& save : batch) {
@@ -115,9 +116,10 @@
   }
 }
 
-// Nothing has changed for this row: its write was waited for in vain, and made
-// again it finds its own row; or another row of the batch was in the way. One
-// that failed at once is left to the scheduler, which lets some time pass.
+// A save is retried if nothing has changed for its row: either the write timed
+// out, and a retry finds its own row if the write was carried out, or another
+// row of the batch caused the conflict. A write that failed at once is left to
+// the scheduler, which retries after a delay.
 bool ShardManager::ShouldRetrySave(const scheduler::SaveProgress& save,
                                    platform::WriteOutcome outcome,
                                    const platform::Row* stored) const {
@@ -128,8 +130,8 @@
           version == save.version);
 }
 
-// Every worker is in the stored list before it gets its first lease, so that a
-// later owner knows whom to ask.
+// Each worker is recorded before it is granted its first lease, so that a later
+// owner knows which workers to poll.
 void ShardManager::RecordWorkers() {
   const base::Micros now = base::MonotonicNow();
   if (this->lease_write_in_flight || now < this->next_lease_write)
@@ -141,7 +143,7 @@
   const LeaseRecord record = this->MakeLeaseRecord(now);
   const RecordedWorkers recorded = RecordedWorkersOf(record);
   if (recorded == this->recorded_workers) {
-    // One that went and came back stands in the list as it was.
+    // A worker that was removed and added again is already in the record.
     this->recorded_worker_changes = change;
     this->scheduler.WorkersRecorded(recorded.held);
     return;
@@ -196,10 +198,10 @@
       this->ScheduleCycle();
       return;
     case platform::WriteOutcome::kConflict:
-      // An own write that was thought lost, an earlier owner's that came late,
-      // or the next owner's.
+      // The row was changed by an own write whose response was lost, by a late
+      // write of an earlier owner, or by the next owner.
       if (!result.rows.empty() && !this->LoadLeaseRecord(result.rows.front())) {
-        // A moment later this is destroyed: orders stop leaving at once.
+        // Commands stop at once; this object is destroyed shortly after.
         this->authority.on_fenced();
         return;
       }
@@ -207,7 +209,7 @@
       this->ScheduleCycle();
       return;
     case platform::WriteOutcome::kUnknown:
-      // The wait for its answer was long enough.
+      // The write timed out; it is retried without a further delay.
       this->next_lease_write = now;
       this->ScheduleCycle();
       return;
@@ -241,7 +243,8 @@
       this->written_counts = counts;
       this->count_version = result.version;
     }
-    // An earlier owner's, or an own write that was thought lost.
+    // The row was changed by an earlier owner, or by an own write whose
+    // response was lost.
     if (result.outcome == platform::WriteOutcome::kConflict &&
         !result.rows.empty()) {
       this->count_version = result.rows.front().version;
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -1,4 +1,5 @@
-// How a new owner learns what is kept, and the store's news after that.
+// Loads the stored state of a shard that is taken over, and follows changes in
+// the store.
 
 #include <algorithm>
 #include <chrono>
@@ -16,12 +17,13 @@
 using std::chrono::milliseconds;
 
 constexpr base::Micros kReadRetryDelay = milliseconds(200);
-// Workers come and go one by one, 80 a second while a pool grows: a feed then
-// brings those of this time together (540 workers: 25,252 calls of four owners
-// on a calm day, a quarter of all calls of the store, before the pause).
+// Pause between feed requests, so that one response covers several workers.
+// They change one at a time, up to 80 a second while a pool grows. Without the
+// pause, four owners of 540 workers made 25,252 calls on a calm day, a quarter
+// of all calls to the store.
 constexpr base::Micros kWorkerFeedPause = milliseconds(50);
-// The store's clock is known to about its quickest answer; a slow store takes
-// some hundred ms.
+// Bound on the error of the estimated store clock, which is about the fastest
+// response time of the store: some hundred ms if the store is slow.
 constexpr base::Micros kStoreClockSlack = milliseconds(1000);
 
 std::optional<jobs::Progress> DecodeProgressRow(const platform::Row& row) {
@@ -31,8 +33,8 @@
 
 }  // namespace
 
-// Jobs first: progress that is read later belongs to jobs that are known, and
-// later jobs come by the feed.
+// Jobs are read first, so that all progress that is read afterwards belongs to
+// known jobs. Jobs that are accepted later arrive through the feed.
 void ShardManager::StartTakeover() {
   this->RecordBoxCalls();
   this->job_follower = std::make_unique<platform::TableFollower>(
@@ -105,7 +107,7 @@
   const auto read =
       [this](std::string_view table, const std::vector<std::string>& parts,
              std::optional<std::vector<platform::Row>>& destination) {
-        // A slow store may still be at the last one.
+        // The table is loaded, or its read is still in flight at a slow store.
         if (destination || !this->tables_being_read.emplace(table).second)
           return;
         platform::ReadTable(this->store, std::string(table), parts,
@@ -121,10 +123,10 @@
                             });
       };
   read(kProgressTable, JobParts(), this->stored_progress);
-  // The list of workers after the progress: an earlier owner that has not
-  // noticed its loss lists a worker before it places anything there. Read at
-  // the same time, a placement could show whose worker the list lacks, and
-  // that would pass for a worker without a lease.
+  // The lease record is read after the progress. An earlier owner that has not
+  // noticed its loss records a worker before it places tasks there. If both
+  // were read concurrently, a placement could name a worker that is missing
+  // from the record, and the worker would be taken to have no lease.
   if (this->stored_progress)
     read(kLeaseTable, {SmallPart(kLeaseTable, this->shard)},
          this->stored_leases);
@@ -187,7 +189,7 @@
       base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
       continue;
     }
-    // Runs of a job that failed or was cancelled may still take room.
+    // A failed or cancelled job is not over while its runs may use capacity.
     if (stored->IsOver())
       continue;
     auto job =
@@ -203,10 +205,10 @@
   this->stored_progress->clear();
 }
 
-// Workers that an earlier owner may have granted a lease; false if the row is a
-// later owner's.
+// Adds the workers to which an earlier owner may have granted a lease. Returns
+// false if the row was written by a later owner.
 bool ShardManager::LoadLeaseRecord(const platform::Row& row) {
-  // A row that cannot be read is written anew, under its version.
+  // A malformed row is overwritten, on condition of its version.
   this->lease_version = row.version;
   const auto record = DecodeLeases(row.value);
   if (!record) {
@@ -215,7 +217,7 @@
   }
   if (record->epoch > this->epoch)
     return false;
-  // An own write whose answer was lost.
+  // An own write whose response was lost.
   if (record->epoch == this->epoch) {
     this->recorded_workers = RecordedWorkersOf(*record);
     this->scheduler.WorkersRecorded(this->recorded_workers.held);
@@ -227,7 +229,7 @@
   for (const LeaseHolder& holder : record->workers) {
     const base::Micros recorded_end =
         this->store.LocalTime(holder.until_store_ms) + kStoreClockSlack;
-    // A time that was not known is no bound.
+    // A time of 0 is unknown and no bound.
     const bool is_bounded =
         !holder.held && holder.until_store_ms > 0 && this->store.knows_clock();
     this->scheduler.InheritWorker(
@@ -258,10 +260,10 @@
   }
 }
 
-// --- Jobs that a worker tells of first ---
+// --- Jobs reported by a worker before they are loaded ---
 
-// `take` gets the row, null if there is none. While the store does not answer,
-// the job is read again later.
+// Passes the row to `on_read`, or null if there is none. If the store does not
+// answer, the job is read again later.
 void ShardManager::ReadRow(
     const std::string& job,
     const platform::RowKey& at,
@@ -329,7 +331,7 @@
     this->LoadJob(job);
 }
 
-// --- The store's news ---
+// --- Changes in the store ---
 
 void ShardManager::HandleJobRow(const platform::Row& row) {
   const base::Micros now = base::MonotonicNow();
@@ -344,7 +346,7 @@
     base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
     return;
   }
-  // Its progress was written with it, under the same version.
+  // The progress row was written in the same batch and has the same version.
   auto job = this->MakeJob(key.job, *accepted, {}, row.version);
   if (job)
     this->scheduler.AddJob(std::move(*job), now);
