--- a/entry/job_daemon.cc
+++ b/entry/job_daemon.cc
@@ -159,7 +159,7 @@
               [this](int shard, base::Micros asked) {
                 ManagedShard& managed = this->ManagedShardAt(shard);
                 if (managed.manager)
-                  managed.manager->Confirmed(asked);
+                  managed.manager->OwnershipConfirmed(asked);
               },
           .load = [this](int shard) { return this->LoadOf(shard); },
           .on_store_answered =
@@ -237,13 +237,13 @@
                                   base::Micros earlier_confirmed) {
   ManagedShard& managed = this->ManagedShardAt(shard);
   managed.destroy_timer.Stop();
-  managed.manager = std::make_unique<Manager>(
+  managed.manager = std::make_unique<ShardManager>(
       this->loop, this->store, this->counters, this->settings,
       Shard{.number = shard,
             .count = static_cast<int>(this->managed_shards.size())},
       epoch, earlier_confirmed,
-      Manager::Authority{
-          .orders_until = [this, shard] { return this->OrdersUntil(shard); },
+      ShardManager::Authority{
+          .commands_until = [this, shard] { return this->OrdersUntil(shard); },
           .certain_until = [this, shard] { return this->CertainUntil(shard); },
           .on_fenced = [this,
                         shard] { this->ownerships->At(shard).OnFenced(); }});
--- a/entry/job_daemon.h
+++ b/entry/job_daemon.h
@@ -43,7 +43,7 @@
     explicit ManagedShard(base::Loop& loop)
         : destroy_timer(loop, [this] { this->manager.reset(); }) {}
 
-    std::unique_ptr<Manager> manager;
+    std::unique_ptr<ShardManager> manager;
     base::Timer destroy_timer;
   };
 
--- a/entry/manager_boxes.cc
+++ b/entry/manager_boxes.cc
@@ -1,4 +1,5 @@
-// The owner's calls about boxes: moves, upkeeps, the platform's list.
+// Box calls of a shard's owner: moves, maintenance and the platform's list of
+// boxes.
 
 #include <utility>
 
@@ -9,24 +10,24 @@
 
 namespace {
 
-std::string_view OutcomeName(scheduler::BoxCallOutcome outcome) {
+std::string_view NameOfOutcome(scheduler::BoxCallOutcome outcome) {
   return base::NameOf(scheduler::kBoxCallOutcomeNames, outcome);
 }
 
 }  // namespace
 
-BoxCalls::Events Manager::BoxCallEvents() {
+BoxCalls::Events ShardManager::BoxCallEvents() {
   return {.on_claimed =
               [this](const std::vector<scheduler::BoxCall>& calls) {
-                this->kept_calls = calls;
-                this->Begin();
+                this->inherited_box_calls = calls;
+                this->StartIfLoaded();
               },
           .on_recorded =
               [this](const scheduler::BoxCall& call) {
-                std::visit([this](const auto& one) { this->SendBox(one); },
+                std::visit([this](const auto& one) { this->SendBoxCall(one); },
                            call);
               },
-          .on_refused =
+          .on_rejected =
               [this](const scheduler::BoxCall& call) {
                 struct Visitor {
                   scheduler::Scheduler& scheduler;
@@ -47,94 +48,95 @@
           .on_fenced = [this] { this->authority.on_fenced(); }};
 }
 
-void Manager::RecordBoxCalls() {
-  this->box_calls.Act(
+void ShardManager::RecordBoxCalls() {
+  this->box_calls.Sync(
       [this](const std::string& box) {
         return this->scheduler.HasOpenBoxCall(box);
       },
       base::MonotonicNow());
 }
 
-// Before the call: one that its owner does not live to see answered leaves no
-// other line.
-void Manager::LogBoxAsked(const char* call,
-                          const std::string& box,
-                          const scheduler::BoxCallContext& evidence) const {
+// Logged before the call is made: if the owner dies before the response, this
+// is the only log line of the call.
+void ShardManager::LogBoxCall(const char* call,
+                              const std::string& box,
+                              const scheduler::BoxCallContext& context) const {
   base::Log(base::Event::kBoxAsked,
             {{"call", call},
              {"box", box},
              {"epoch", this->epoch},
-             {"confirmed_ms", base::Millis(evidence.confirmed_ago)},
-             {"heard_ms", evidence.last_answer_ago < base::Micros::zero()
+             {"confirmed_ms", base::Millis(context.confirmed_ago)},
+             {"heard_ms", context.last_answer_ago < base::Micros::zero()
                               ? -1
-                              : base::Millis(evidence.last_answer_ago)},
-             {"presumed_over", evidence.runs_presumed_over}});
+                              : base::Millis(context.last_answer_ago)},
+             {"presumed_over", context.runs_presumed_over}});
 }
 
-void Manager::SendBox(const scheduler::MoveBox& order) {
-  this->LogBoxAsked("move", order.box, order.context);
+void ShardManager::SendBoxCall(const scheduler::MoveBox& command) {
+  this->LogBoxCall("move", command.box, command.context);
   const base::Micros sent = base::MonotonicNow();
-  this->boxes.Move(order, this->epoch,
-                   [this, order, sent,
-                    lives = this->alive](scheduler::BoxCallOutcome outcome) {
-                     if (!*lives)
+  this->boxes.Move(command, this->epoch,
+                   [this, command, sent,
+                    alive = this->alive](scheduler::BoxCallOutcome outcome) {
+                     if (!*alive)
                        return;
                      const base::Micros now = base::MonotonicNow();
                      base::Log(base::Event::kBoxMoved,
-                               {{"box", order.box},
-                                {"pool", order.pool},
+                               {{"box", command.box},
+                                {"pool", command.pool},
                                 {"epoch", this->epoch},
-                                {"outcome", OutcomeName(outcome)},
+                                {"outcome", NameOfOutcome(outcome)},
                                 {"took_ms", base::Millis(now - sent)}});
-                     this->scheduler.MoveAnswered(order, outcome, now);
-                     this->ActSoon();
+                     this->scheduler.MoveAnswered(command, outcome, now);
+                     this->ScheduleCycle();
                    });
 }
 
-void Manager::SendBox(const scheduler::MaintainBox& order) {
-  this->LogBoxAsked("upkeep", order.box, order.context);
+void ShardManager::SendBoxCall(const scheduler::MaintainBox& command) {
+  this->LogBoxCall("upkeep", command.box, command.context);
   const base::Micros sent = base::MonotonicNow();
-  this->boxes.Upkeep(order, this->epoch,
-                     [this, order, sent,
-                      lives = this->alive](scheduler::BoxCallOutcome outcome) {
-                       if (!*lives)
+  this->boxes.Upkeep(command, this->epoch,
+                     [this, command, sent,
+                      alive = this->alive](scheduler::BoxCallOutcome outcome) {
+                       if (!*alive)
                          return;
                        const base::Micros now = base::MonotonicNow();
                        base::Log(base::Event::kUpkeepBegun,
-                                 {{"box", order.box},
-                                  {"wave", order.wave},
+                                 {{"box", command.box},
+                                  {"wave", command.wave},
                                   {"epoch", this->epoch},
-                                  {"outcome", OutcomeName(outcome)},
+                                  {"outcome", NameOfOutcome(outcome)},
                                   {"took_ms", base::Millis(now - sent)}});
-                       this->scheduler.MaintenanceAnswered(order, outcome, now);
-                       this->ActSoon();
+                       this->scheduler.MaintenanceAnswered(command, outcome,
+                                                           now);
+                       this->ScheduleCycle();
                      });
 }
 
-void Manager::ListBoxes(const std::string& page,
-                        std::vector<scheduler::BoxInfo> so_far,
-                        base::Micros asked) {
-  this->boxes.List(
-      page, [this, so_far = std::move(so_far), asked, lives = this->alive](
-                std::optional<platform::BoxPage> result) mutable {
-        if (!*lives)
-          return;
-        if (!result) {
-          this->listing_boxes = false;
-          return;
-        }
-        for (scheduler::BoxInfo& box : result->boxes) {
-          if (ShardContainsBox(this->shard, box.name))
-            so_far.push_back(std::move(box));
-        }
-        if (!result->next.empty()) {
-          this->ListBoxes(result->next, std::move(so_far), asked);
-          return;
-        }
-        this->listing_boxes = false;
-        this->scheduler.SetBoxes(so_far, asked, base::MonotonicNow());
-        this->ActSoon();
-      });
+void ShardManager::ListBoxes(const std::string& page,
+                             std::vector<scheduler::BoxInfo> boxes_so_far,
+                             base::Micros asked) {
+  this->boxes.List(page, [this, boxes_so_far = std::move(boxes_so_far), asked,
+                          alive = this->alive](
+                             std::optional<platform::BoxPage> result) mutable {
+    if (!*alive)
+      return;
+    if (!result) {
+      this->listing_boxes = false;
+      return;
+    }
+    for (scheduler::BoxInfo& box : result->boxes) {
+      if (ShardContainsBox(this->shard, box.name))
+        boxes_so_far.push_back(std::move(box));
+    }
+    if (!result->next.empty()) {
+      this->ListBoxes(result->next, std::move(boxes_so_far), asked);
+      return;
+    }
+    this->listing_boxes = false;
+    this->scheduler.SetBoxes(boxes_so_far, asked, base::MonotonicNow());
+    this->ScheduleCycle();
+  });
 }
 
 }  // namespace quartzhoist::entry
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -1,4 +1,5 @@
-// How a new owner learns what is kept, and the store's news after that.
+// Loads the stored state of a shard that is taken over, and follows changes in
+// the store.
 
 #include <algorithm>
 #include <chrono>
@@ -15,51 +16,52 @@
 
 using std::chrono::milliseconds;
 
-constexpr base::Micros kReadAgain = milliseconds(200);
-// Workers come and go one by one, 80 a second while a pool grows: a feed then
-// brings those of this time together (540 workers: 25,252 calls of four owners
-// on a calm day, a quarter of all calls of the store, before the pause).
-constexpr base::Micros kWorkerPause = milliseconds(50);
-// The store's clock is known to about its quickest answer; a slow store takes
-// some hundred ms.
+constexpr base::Micros kReadRetryDelay = milliseconds(200);
+// Pause between feed requests, so that one response covers several workers.
+// They change one at a time, up to 80 a second while a pool grows. Without the
+// pause, four owners of 540 workers made 25,252 calls on a calm day, a quarter
+// of all calls to the store.
+constexpr base::Micros kWorkerFeedPause = milliseconds(50);
+// Bound on the error of the estimated store clock, which is about the fastest
+// response time of the store: some hundred ms if the store is slow.
 constexpr base::Micros kStoreClockSlack = milliseconds(1000);
 
-std::optional<jobs::Progress> ProgressOf(const platform::Row& row) {
-  const auto kept = DecodeProgressRecord(row.value);
-  return kept ? jobs::DecodeProgress(kept->text) : std::nullopt;
+std::optional<jobs::Progress> DecodeProgressRow(const platform::Row& row) {
+  const auto stored = DecodeProgressRecord(row.value);
+  return stored ? jobs::DecodeProgress(stored->text) : std::nullopt;
 }
 
 }  // namespace
 
-// Jobs first: progress that is read later belongs to jobs that are known, and
-// later jobs come by the feed.
-void Manager::ReadKept() {
+// Jobs are read first, so that all progress that is read afterwards belongs to
+// known jobs. Jobs that are accepted later arrive through the feed.
+void ShardManager::StartTakeover() {
   this->RecordBoxCalls();
   this->job_follower = std::make_unique<platform::TableFollower>(
       this->loop, this->store, JobTable(this->shard), JobParts(),
       platform::TableFollower::Events{
           .on_all =
               [this](std::vector<platform::Row> rows) {
-                if (this->begun) {
+                if (this->started) {
                   for (const platform::Row& row : rows)
-                    this->TakeJobRow(row);
-                  this->ActSoon();
+                    this->HandleJobRow(row);
+                  this->ScheduleCycle();
                   return;
                 }
-                this->kept_jobs = std::move(rows);
-                this->ReadRest();
+                this->stored_jobs = std::move(rows);
+                this->ReadStoredState();
               },
           .on_changes =
               [this](const std::vector<platform::ChangedRow>& rows) {
                 for (const platform::ChangedRow& changed : rows) {
                   if (changed.removed)
                     continue;
-                  if (this->begun)
-                    this->TakeJobRow(changed.row);
+                  if (this->started)
+                    this->HandleJobRow(changed.row);
                   else
-                    this->kept_jobs->push_back(changed.row);
+                    this->stored_jobs->push_back(changed.row);
                 }
-                this->ActSoon();
+                this->ScheduleCycle();
               },
           .on_contact = [](base::Micros) {},
           .on_lost = [] {}});
@@ -69,140 +71,144 @@
       platform::TableFollower::Events{
           .on_all =
               [this](const std::vector<platform::Row>& rows) {
-                std::set<std::string> there;
-                if (!this->announced)
-                  this->announced.emplace();
+                std::set<std::string> present;
+                if (!this->registered_workers)
+                  this->registered_workers.emplace();
                 for (const platform::Row& row : rows) {
-                  there.insert(row.at.key);
-                  this->TakeWorkerRow({.row = row, .removed = false});
+                  present.insert(row.at.key);
+                  this->HandleWorkerRow({.row = row, .removed = false});
                 }
-                std::vector<std::string> gone;
-                for (const auto& [id, info] : *this->announced) {
-                  if (!there.contains(id))
-                    gone.push_back(id);
+                std::vector<std::string> deregistered;
+                for (const auto& [id, info] : *this->registered_workers) {
+                  if (!present.contains(id))
+                    deregistered.push_back(id);
                 }
-                for (const std::string& id : gone) {
+                for (const std::string& id : deregistered) {
                   platform::Row row;
                   row.at.key = id;
-                  this->TakeWorkerRow({.row = row, .removed = true});
+                  this->HandleWorkerRow({.row = row, .removed = true});
                 }
-                this->Begin();
+                this->StartIfLoaded();
               },
           .on_changes =
               [this](const std::vector<platform::ChangedRow>& rows) {
                 for (const platform::ChangedRow& changed : rows)
-                  this->TakeWorkerRow(changed);
-                this->ActSoon();
+                  this->HandleWorkerRow(changed);
+                this->ScheduleCycle();
               },
           .on_contact = [](base::Micros) {},
           .on_lost = [] {}},
-      platform::TableFollower::Pace{.pause = [] { return kWorkerPause; }});
+      platform::TableFollower::Pace{.pause = [] { return kWorkerFeedPause; }});
 }
 
-void Manager::ReadRest() {
-  if (this->begun)
+void ShardManager::ReadStoredState() {
+  if (this->started)
     return;
-  const auto read = [this](std::string_view table,
-                           const std::vector<std::string>& parts,
-                           std::optional<std::vector<platform::Row>>& into) {
-    // A slow store may still be at the last one.
-    if (into || !this->reading.emplace(table).second)
-      return;
-    platform::ReadTable(this->store, std::string(table), parts,
-                        [this, &into, table, lives = this->alive](
-                            std::optional<platform::TableContent> content) {
-                          if (!*lives)
-                            return;
-                          this->reading.erase(std::string(table));
-                          if (content)
-                            into = std::move(content->rows);
-                          this->ReadRest();
-                          this->Begin();
-                        });
-  };
-  read(kProgressTable, JobParts(), this->kept_progress);
-  // The list of workers after the progress: an earlier owner that has not
-  // noticed its loss lists a worker before it places anything there. Read at
-  // the same time, a placement could show whose worker the list lacks, and
-  // that would pass for a worker without a lease.
-  if (this->kept_progress)
-    read(kLeaseTable, {ShardPart(kLeaseTable, this->shard)}, this->kept_leases);
-  read(kWaveTable, ShardParts(kWaveTable, this->shard.count), this->kept_waves);
-  this->timer.StartOnce(kReadAgain);
+  const auto read =
+      [this](std::string_view table, const std::vector<std::string>& parts,
+             std::optional<std::vector<platform::Row>>& destination) {
+        // The table is loaded, or its read is still in flight at a slow store.
+        if (destination || !this->tables_being_read.emplace(table).second)
+          return;
+        platform::ReadTable(this->store, std::string(table), parts,
+                            [this, &destination, table, alive = this->alive](
+                                std::optional<platform::TableContent> content) {
+                              if (!*alive)
+                                return;
+                              this->tables_being_read.erase(std::string(table));
+                              if (content)
+                                destination = std::move(content->rows);
+                              this->ReadStoredState();
+                              this->StartIfLoaded();
+                            });
+      };
+  read(kProgressTable, JobParts(), this->stored_progress);
+  // The lease record is read after the progress. An earlier owner that has not
+  // noticed its loss records a worker before it places tasks there. If both
+  // were read concurrently, a placement could name a worker that is missing
+  // from the record, and the worker would be taken to have no lease.
+  if (this->stored_progress)
+    read(kLeaseTable, {ShardPart(kLeaseTable, this->shard)},
+         this->stored_leases);
+  read(kWaveTable, ShardParts(kWaveTable, this->shard.count),
+       this->stored_waves);
+  this->tick_timer.StartOnce(kReadRetryDelay);
 }
 
-void Manager::Begin() {
-  const bool complete = this->has_config && this->kept_jobs &&
-                        this->kept_progress && this->kept_leases &&
-                        this->kept_waves && this->announced &&
+void ShardManager::StartIfLoaded() {
+  const bool complete = this->has_config && this->stored_jobs &&
+                        this->stored_progress && this->stored_leases &&
+                        this->stored_waves && this->registered_workers &&
                         this->box_calls.claimed();
-  if (this->begun || !complete)
+  if (this->started || !complete)
     return;
-  this->begun = true;
-  this->scheduler.InheritBoxCalls(std::exchange(this->kept_calls, {}),
+  this->started = true;
+  this->scheduler.InheritBoxCalls(std::exchange(this->inherited_box_calls, {}),
                                   base::MonotonicNow());
-  this->AddWorkers();
+  this->AddStoredWorkers();
   this->scheduler.SetConfig(this->config, base::MonotonicNow());
-  this->AddKeptJobs();
-  this->waves.Begin(*this->kept_waves, base::MonotonicNow());
+  this->AddStoredJobs();
+  this->waves.Begin(*this->stored_waves, base::MonotonicNow());
   base::Log(base::Event::kOwnershipReady,
             {{"shard", this->shard.number},
              {"epoch", this->epoch},
              {"jobs", this->scheduler.all_jobs().size()},
              {"workers", this->scheduler.all_workers().size()}});
-  this->timer.StartEvery(kTickPeriod);
-  this->ActSoon();
+  this->tick_timer.StartEvery(kTickPeriod);
+  this->ScheduleCycle();
 }
 
-void Manager::AddWorkers() {
+void ShardManager::AddStoredWorkers() {
   const base::Micros now = base::MonotonicNow();
-  for (const platform::Row& row : *this->kept_leases) {
+  for (const platform::Row& row : *this->stored_leases) {
     if (row.at.key == kLeaseKey)
-      this->TakeLeases(row);
+      this->LoadLeaseRecord(row);
   }
-  for (const auto& [id, info] : *this->announced)
+  for (const auto& [id, info] : *this->registered_workers)
     this->scheduler.UpdateWorker(info, now);
 }
 
-void Manager::AddKeptJobs() {
+void ShardManager::AddStoredJobs() {
   const base::Micros now = base::MonotonicNow();
   std::map<std::string, const platform::Row*> progress;
-  for (const platform::Row& row : *this->kept_progress)
+  for (const platform::Row& row : *this->stored_progress)
     progress[row.at.key] = &row;
-  for (const platform::Row& row : *this->kept_jobs) {
+  for (const platform::Row& row : *this->stored_jobs) {
     const JobKey key = ParseJobKey(row.at.key);
     if (key.is_cancel) {
-      this->cancels.insert(key.job);
+      this->cancelled_jobs.insert(key.job);
       continue;
     }
     const auto found = progress.find(key.job);
-    const bool is_kept = found != progress.end();
+    const bool has_progress = found != progress.end();
     const auto accepted = DecodeAccepted(row.value);
-    auto kept = is_kept ? ProgressOf(*found->second)
-                        : std::optional<jobs::Progress>(jobs::Progress{});
-    if (!accepted || !kept) {
+    auto stored = has_progress
+                      ? DecodeProgressRow(*found->second)
+                      : std::optional<jobs::Progress>(jobs::Progress{});
+    if (!accepted || !stored) {
       base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
       continue;
     }
-    // Runs of a job that failed or was cancelled may still take room.
-    if (kept->IsOver())
+    // A failed or cancelled job is not over while its runs may use capacity.
+    if (stored->IsOver())
       continue;
-    auto job = this->MakeJob(key.job, *accepted, std::move(*kept),
-                             is_kept ? found->second->version : row.version);
+    auto job =
+        this->MakeJob(key.job, *accepted, std::move(*stored),
+                      has_progress ? found->second->version : row.version);
     if (!job)
       continue;
     this->scheduler.AddJob(std::move(*job), now);
   }
-  for (const std::string& id : this->cancels)
+  for (const std::string& id : this->cancelled_jobs)
     this->scheduler.CancelJob(id, now);
-  this->kept_jobs->clear();
-  this->kept_progress->clear();
+  this->stored_jobs->clear();
+  this->stored_progress->clear();
 }
 
-// Workers that an earlier owner may have granted a lease; false if the row is a
-// later owner's.
-bool Manager::TakeLeases(const platform::Row& row) {
-  // A row that cannot be read is written anew, under its version.
+// Adds the workers to which an earlier owner may have granted a lease. Returns
+// false if the row was written by a later owner.
+bool ShardManager::LoadLeaseRecord(const platform::Row& row) {
+  // A malformed row is overwritten, on condition of its version.
   this->lease_version = row.version;
   const auto record = DecodeLeases(row.value);
   if (!record) {
@@ -211,30 +217,33 @@
   }
   if (record->epoch > this->epoch)
     return false;
-  // An own write whose answer was lost.
+  // An own write whose response was lost.
   if (record->epoch == this->epoch) {
-    this->recorded = NamesOf(*record);
-    this->scheduler.WorkersRecorded(this->recorded.held);
+    this->recorded_workers = RecordedWorkersOf(*record);
+    this->scheduler.WorkersRecorded(this->recorded_workers.held);
     return true;
   }
-  const base::Micros latest =
-      this->earlier_confirmed + WithClockDrift(this->GrantBound());
+  const base::Micros latest_end =
+      this->earlier_confirmed +
+      WithClockDrift(this->MaxLeaseAfterConfirmation());
   for (const LeaseHolder& holder : record->workers) {
-    const base::Micros carried =
+    const base::Micros recorded_end =
         this->store.LocalTime(holder.expires_store_ms) + kStoreClockSlack;
-    // A time that was not known is no bound.
+    // A time of 0 is unknown and no bound.
     const bool is_bounded = !holder.held && holder.expires_store_ms > 0 &&
                             this->store.knows_clock();
     this->scheduler.InheritWorker(
-        holder.worker, is_bounded ? std::min(latest, carried) : latest);
+        holder.worker,
+        is_bounded ? std::min(latest_end, recorded_end) : latest_end);
   }
   return true;
 }
 
-std::optional<scheduler::Job> Manager::MakeJob(const std::string& id,
-                                               const AcceptedJob& accepted,
-                                               jobs::Progress progress,
-                                               std::uint64_t version) const {
+std::optional<scheduler::Job> ShardManager::MakeJob(
+    const std::string& id,
+    const AcceptedJob& accepted,
+    jobs::Progress progress,
+    std::uint64_t version) const {
   const base::Micros offset = MonotonicTimeAt1970();
   try {
     scheduler::Job job = scheduler::MakeJob(
@@ -251,82 +260,84 @@
   }
 }
 
-// --- Jobs that a worker tells of first ---
+// --- Jobs reported by a worker before they are loaded ---
 
-// `take` gets the row, null if there is none. While the store does not answer,
-// the job is read again later.
-void Manager::ReadRowOf(const std::string& job,
-                        const platform::RowKey& at,
-                        std::function<void(const platform::Row* row)> take) {
+// Passes the row to `on_read`, or null if there is none. If the store does not
+// answer, the job is read again later.
+void ShardManager::ReadRow(
+    const std::string& job,
+    const platform::RowKey& at,
+    std::function<void(const platform::Row* row)> on_read) {
   const platform::ReadQuery query{
       .table = at.table, .part = at.part, .from = job, .to = {}, .limit = 1};
   this->store.Read(
-      query, [this, job, take = std::move(take), lives = this->alive](
+      query, [this, job, on_read = std::move(on_read), alive = this->alive](
                  const std::optional<platform::ReadResult>& result) {
-        if (!*lives)
+        if (!*alive)
           return;
         if (!result) {
-          this->unread_jobs.insert(job);
+          this->jobs_to_reload.insert(job);
           return;
         }
-        const bool is_there =
+        const bool exists =
             !result->rows.empty() && result->rows.front().at.key == job;
-        take(is_there ? &result->rows.front() : nullptr);
+        on_read(exists ? &result->rows.front() : nullptr);
       });
 }
 
-void Manager::ReadJob(const std::string& job) {
-  this->ReadRowOf(job, ProgressRow(job), [this, job](const platform::Row* row) {
+void ShardManager::LoadJob(const std::string& job) {
+  this->ReadRow(job, ProgressRow(job), [this, job](const platform::Row* row) {
     const auto progress =
-        row ? ProgressOf(*row) : std::optional<jobs::Progress>();
+        row ? DecodeProgressRow(*row) : std::optional<jobs::Progress>();
     if (row && !progress)
       base::Log(base::Event::kRowMalformed, {{"row", job}});
     const bool is_over = !progress || progress->IsOver();
     if (is_over)
       this->scheduler.UnknownJobIsOver(job, base::MonotonicNow());
     else
-      this->ReadJobRow(job, *progress, row->version);
+      this->LoadAcceptedJob(job, *progress, row->version);
   });
 }
 
-void Manager::ReadJobRow(const std::string& job,
-                         const jobs::Progress& progress,
-                         std::uint64_t version) {
-  const auto take = [this, job, progress, version](const platform::Row* row) {
+void ShardManager::LoadAcceptedJob(const std::string& job,
+                                   const jobs::Progress& progress,
+                                   std::uint64_t version) {
+  const auto on_read = [this, job, progress,
+                        version](const platform::Row* row) {
     const base::Micros now = base::MonotonicNow();
     const auto accepted =
         row ? DecodeAccepted(row->value) : std::optional<AcceptedJob>();
-    auto made = accepted ? this->MakeJob(job, *accepted, progress, version)
-                         : std::optional<scheduler::Job>();
-    if (!made) {
+    auto loaded = accepted ? this->MakeJob(job, *accepted, progress, version)
+                           : std::optional<scheduler::Job>();
+    if (!loaded) {
       base::Log(base::Event::kRowMalformed, {{"row", job}});
       this->scheduler.UnknownJobIsOver(job, now);
       return;
     }
-    this->scheduler.AddJob(std::move(*made), now);
-    if (this->cancels.contains(job))
+    this->scheduler.AddJob(std::move(*loaded), now);
+    if (this->cancelled_jobs.contains(job))
       this->scheduler.CancelJob(job, now);
-    this->ActSoon();
+    this->ScheduleCycle();
   };
-  this->ReadRowOf(job, JobRow(job, this->shard), take);
+  this->ReadRow(job, JobRow(job, this->shard), on_read);
 }
 
-void Manager::ReadJobsAgain() {
+void ShardManager::RetryJobReads() {
   const base::Micros now = base::MonotonicNow();
-  if (this->unread_jobs.empty() || now < this->next_job_read)
+  if (this->jobs_to_reload.empty() || now < this->next_job_reload)
     return;
-  this->next_job_read = now + kReadAgain;
-  for (const std::string& job : std::exchange(this->unread_jobs, {}))
-    this->ReadJob(job);
+  this->next_job_reload = now + kReadRetryDelay;
+  for (const std::string& job : std::exchange(this->jobs_to_reload, {}))
+    this->LoadJob(job);
 }
 
-// --- The store's news ---
+// --- Changes in the store ---
 
-void Manager::TakeJobRow(const platform::Row& row) {
+void ShardManager::HandleJobRow(const platform::Row& row) {
   const base::Micros now = base::MonotonicNow();
   const JobKey key = ParseJobKey(row.at.key);
   if (key.is_cancel) {
-    this->cancels.insert(key.job);
+    this->cancelled_jobs.insert(key.job);
     this->scheduler.CancelJob(key.job, now);
     return;
   }
@@ -335,26 +346,26 @@
     base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
     return;
   }
-  // Its progress was written with it, under the same version.
+  // The progress row was written in the same batch and has the same version.
   auto job = this->MakeJob(key.job, *accepted, {}, row.version);
   if (job)
     this->scheduler.AddJob(std::move(*job), now);
-  if (this->cancels.contains(key.job))
+  if (this->cancelled_jobs.contains(key.job))
     this->scheduler.CancelJob(key.job, now);
 }
 
-void Manager::TakeWorkerRow(const platform::ChangedRow& changed) {
+void ShardManager::HandleWorkerRow(const platform::ChangedRow& changed) {
   const base::Micros now = base::MonotonicNow();
   const std::string& id = changed.row.at.key;
-  if (!this->announced)
-    this->announced.emplace();
-  const auto withdraw = [this, &id, now] {
-    this->announced->erase(id);
-    if (this->begun)
+  if (!this->registered_workers)
+    this->registered_workers.emplace();
+  const auto deregister = [this, &id, now] {
+    this->registered_workers->erase(id);
+    if (this->started)
       this->scheduler.WorkerDeregistered(id, now);
   };
   if (changed.removed) {
-    withdraw();
+    deregister();
     return;
   }
   try {
@@ -362,13 +373,13 @@
         platform::ParseWorker(id, changed.row.value);
     if (!ShardContainsBox(this->shard, info.box))
       return;
-    (*this->announced)[id] = info;
-    if (this->begun)
+    (*this->registered_workers)[id] = info;
+    if (this->started)
       this->scheduler.UpdateWorker(info, now);
   } catch (const platform::BadInput& problem) {
     base::Log(base::Event::kRowMalformed,
               {{"row", id}, {"problem", problem.what()}});
-    withdraw();
+    deregister();
   }
 }
 
