--- a/entry/ownership.cc
+++ b/entry/ownership.cc
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr base::Micros kTickPeriod = milliseconds(50);
+constexpr base::Micros kOwnershipTickPeriod = milliseconds(50);
 // A renewal time closer than this to the last write is skipped.
 constexpr base::Micros kMinRenewalGap = milliseconds(250);
 constexpr base::Micros kRenewalRetryDelay = milliseconds(150);
@@ -56,7 +56,7 @@
   this->incarnation = fmt::format("{:016x}", this->random());
   this->unchanged_since = base::MonotonicNow();
   this->takeover_jitter = this->DrawTakeoverJitter();
-  this->timer.StartEvery(kTickPeriod);
+  this->timer.StartEvery(kOwnershipTickPeriod);
 }
 
 void Ownership::OnStoreAnswered() {
--- a/entry/tables.h
+++ b/entry/tables.h
@@ -151,7 +151,7 @@
 std::optional<BoxCallRecord> DecodeBoxCalls(std::string_view text);
 
 std::string EncodeShardCount(int count);
-// Empty unless the text is a power of two up to kMostShards.
+// Empty unless the text is a power of two up to kMaxShards.
 std::optional<int> DecodeShardCount(std::string_view text);
 
 std::string EncodeNames(const std::vector<std::string>& names);
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -211,7 +211,7 @@
     job.progress.last_tries[KeyOf(place)].insert(run);
 }
 
-// Undoes NoteLastTry for a run that was not started.
+// Undoes RecordLastTry for a run that was not started.
 void Scheduler::RevokeLastTry(Job& job, const TaskPosition& place, int run) {
   const auto found = job.progress.last_tries.find(KeyOf(place));
   if (found == job.progress.last_tries.end())
