--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -129,7 +129,7 @@
 
 void Manager::Confirmed(base::Micros asked) {
   this->confirmed_at = asked;
-  this->save_policy.Confirmed(asked);
+  this->save_policy.OnOwnershipConfirmed(asked);
   this->renewed_in_doubt = false;
   this->scheduler.Confirmed(asked, this->authority.certain_until());
 }
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -51,7 +51,8 @@
 }  // namespace
 
 void Manager::SaveAll() {
-  const bool one_part = this->save_policy.one_part(base::MonotonicNow());
+  const bool one_part =
+      this->save_policy.single_part_only(base::MonotonicNow());
   while (!this->saves.empty()) {
     if (!one_part && this->saves_in_flight >= kMaxSavesInFlight)
       return;
@@ -73,20 +74,20 @@
   }
   ++this->saves_in_flight;
   const base::Micros sent = base::MonotonicNow();
-  this->store.Write(
-      write, [this, batch = std::move(batch), sent,
-              lives = this->alive](const platform::WriteResult& result) {
-        if (!*lives)
-          return;
-        --this->saves_in_flight;
-        this->saves.Settled(batch);
-        const base::Micros now = base::MonotonicNow();
-        this->save_policy.Answered(result, PartsOf(batch), now - sent, now);
-        this->TakeSaved(batch, result);
-        // Placements that are recorded now are ordered at once.
-        this->CarryAll();
-        this->ActSoon();
-      });
+  this->store.Write(write, [this, batch = std::move(batch), sent,
+                            lives = this->alive](
+                               const platform::WriteResult& result) {
+    if (!*lives)
+      return;
+    --this->saves_in_flight;
+    this->saves.Settled(batch);
+    const base::Micros now = base::MonotonicNow();
+    this->save_policy.OnWriteFinished(result, PartsOf(batch), now - sent, now);
+    this->TakeSaved(batch, result);
+    // Placements that are recorded now are ordered at once.
+    this->CarryAll();
+    this->ActSoon();
+  });
 }
 
 void Manager::TakeSaved(const std::vector<scheduler::SaveProgress>& batch,
@@ -120,7 +121,7 @@
                             platform::WriteOutcome outcome,
                             const platform::Row* there) const {
   const std::uint64_t version = there ? there->version : 0;
-  const bool was_waited_for = this->save_policy.slow();
+  const bool was_waited_for = this->save_policy.is_slow();
   return (outcome == platform::WriteOutcome::kUnknown && was_waited_for) ||
          (outcome == platform::WriteOutcome::kConflict &&
           version == save.version);
--- a/entry/save_policy_test.cc
+++ b/entry/save_policy_test.cc
@@ -21,15 +21,15 @@
 using std::chrono::seconds;
 
 // One owner's saves against parts of which some refuse.
-struct Replay {
-  static constexpr base::Micros kAnswer = milliseconds(8);
-  static constexpr base::Micros kTurn = milliseconds(10);
-  static constexpr base::Micros kSaveAgain = milliseconds(200);
-  static constexpr int kCallsAtOnce = 2;  // over several parts
+struct SaveSimulation {
+  static constexpr base::Micros kStoreLatency = milliseconds(8);
+  static constexpr base::Micros kStepTime = milliseconds(10);
+  static constexpr base::Micros kRetryDelay = milliseconds(200);
+  static constexpr int kMaxSpanningCalls = 2;  // over several parts
 
   struct Call {
-    base::Micros answered{};
-    base::Micros sent{};
+    base::Micros answered_at{};
+    base::Micros sent_at{};
     std::vector<scheduler::SaveProgress> batch;
   };
 
@@ -37,71 +37,74 @@
     return ProgressRow(job).part;
   }
 
-  void HandIn() {
+  void AddJob() {
     const std::string job = std::to_string(++this->jobs);
     this->saves.Add({.job = job, .text = "progress"});
-    this->waiting.emplace(job);
+    this->unsaved_jobs.emplace(job);
   }
 
-  void Answer(const Call& call) {
+  void CompleteCall(const Call& call) {
     std::set<std::string> parts;
     for (const scheduler::SaveProgress& save : call.batch)
       parts.insert(PartOf(save.job));
-    const bool refused = std::any_of(
-        parts.begin(), parts.end(),
-        [this](const auto& part) { return this->away.contains(part); });
+    const bool refused =
+        std::any_of(parts.begin(), parts.end(), [this](const auto& part) {
+          return this->unavailable_parts.contains(part);
+        });
     this->saves.Settled(call.batch);
-    this->policy.Answered(
+    this->policy.OnWriteFinished(
         {.outcome = refused ? WriteOutcome::kNotDone : WriteOutcome::kDone},
-        parts.size(), this->now - call.sent, this->now);
+        parts.size(), this->now - call.sent_at, this->now);
     for (const scheduler::SaveProgress& save : call.batch) {
       if (refused)
-        this->again.emplace_back(this->now + kSaveAgain, save);
+        this->retries.emplace_back(this->now + kRetryDelay, save);
       else
-        this->waiting.erase(save.job);
+        this->unsaved_jobs.erase(save.job);
     }
   }
 
-  void Turn() {
-    this->now += kTurn;
-    while (!this->calls.empty() && this->calls.front().answered <= this->now) {
+  void RunStep() {
+    this->now += kStepTime;
+    while (!this->calls.empty() &&
+           this->calls.front().answered_at <= this->now) {
       const Call call = this->calls.front();
       this->calls.pop_front();
-      this->Answer(call);
+      this->CompleteCall(call);
     }
-    while (!this->again.empty() && this->again.front().first <= this->now) {
-      this->saves.Add(this->again.front().second);
-      this->again.pop_front();
+    while (!this->retries.empty() && this->retries.front().first <= this->now) {
+      this->saves.Add(this->retries.front().second);
+      this->retries.pop_front();
     }
     while (!this->saves.empty() && this->policy.may_write(this->now)) {
-      const bool one_part = this->policy.one_part(this->now);
-      if (!one_part && this->calls.size() >= kCallsAtOnce)
+      const bool one_part = this->policy.single_part_only(this->now);
+      if (!one_part && this->calls.size() >= kMaxSpanningCalls)
         return;
       std::vector<scheduler::SaveProgress> batch = this->saves.Take(one_part);
       if (batch.empty())
         return;
       ++this->call_count;
-      this->calls.push_back({.answered = this->now + kAnswer,
-                             .sent = this->now,
+      this->calls.push_back({.answered_at = this->now + kStoreLatency,
+                             .sent_at = this->now,
                              .batch = std::move(batch)});
     }
   }
 
   // Jobs of parts that are there, not saved yet.
-  std::ptrdiff_t HeldUp() const {
-    return std::count_if(this->waiting.begin(), this->waiting.end(),
-                         [this](const std::string& job) {
-                           return !this->away.contains(PartOf(job));
-                         });
+  std::ptrdiff_t CountDelayedJobs() const {
+    return std::count_if(
+        this->unsaved_jobs.begin(), this->unsaved_jobs.end(),
+        [this](const std::string& job) {
+          return !this->unavailable_parts.contains(PartOf(job));
+        });
   }
 
   base::Micros now = seconds(50);
   SavePolicy policy{true};
   SaveQueue saves;
-  std::set<std::string> away;
-  std::set<std::string> waiting;
+  std::set<std::string> unavailable_parts;
+  std::set<std::string> unsaved_jobs;
   std::deque<Call> calls;
-  std::deque<std::pair<base::Micros, scheduler::SaveProgress>> again;
+  std::deque<std::pair<base::Micros, scheduler::SaveProgress>> retries;
   int jobs = 0;
   int call_count = 0;
 };
@@ -109,55 +112,57 @@
 // A height of demand: 200 saves a second while a third of the parts is away for
 // 5 s. The ownership is confirmed throughout.
 BOOST_AUTO_TEST_CASE(PartsThatAreAwayHoldUpNoOthers) {
-  Replay replay;
+  SaveSimulation replay;
   for (int job = 0; job < 3000; job += 3)
-    replay.away.insert(Replay::PartOf(std::to_string(job % 61)));
+    replay.unavailable_parts.insert(
+        SaveSimulation::PartOf(std::to_string(job % 61)));
   std::ptrdiff_t most_held_up = 0;
   for (int turn = 0; turn < 500; ++turn) {
-    replay.policy.Confirmed(replay.now);
-    replay.HandIn();
-    replay.HandIn();
-    replay.Turn();
+    replay.policy.OnOwnershipConfirmed(replay.now);
+    replay.AddJob();
+    replay.AddJob();
+    replay.RunStep();
     if (turn > 50)
-      most_held_up = std::max(most_held_up, replay.HeldUp());
+      most_held_up = std::max(most_held_up, replay.CountDelayedJobs());
   }
-  BOOST_TEST(!replay.away.empty());
+  BOOST_TEST(!replay.unavailable_parts.empty());
   BOOST_TEST(most_held_up < 20);
   // Back again: few calls soon after.
-  replay.away.clear();
+  replay.unavailable_parts.clear();
   for (int turn = 0; turn < 300; ++turn) {
-    replay.policy.Confirmed(replay.now);
-    replay.Turn();
+    replay.policy.OnOwnershipConfirmed(replay.now);
+    replay.RunStep();
   }
-  BOOST_TEST(replay.waiting.empty());
-  BOOST_TEST(!replay.policy.one_part(replay.now));
+  BOOST_TEST(replay.unsaved_jobs.empty());
+  BOOST_TEST(!replay.policy.single_part_only(replay.now));
 }
 
 // The part that holds the ownership is away, the jobs' are there.
 BOOST_AUTO_TEST_CASE(SavesGoOnWhileOnlyTheOwnershipsPartIsAway) {
-  Replay replay;
-  replay.policy.Confirmed(replay.now);
+  SaveSimulation replay;
+  replay.policy.OnOwnershipConfirmed(replay.now);
   for (int turn = 0; turn < 500; ++turn) {
-    replay.HandIn();
-    replay.Turn();
+    replay.AddJob();
+    replay.RunStep();
   }
-  BOOST_TEST(replay.HeldUp() < 20);
+  BOOST_TEST(replay.CountDelayedJobs() < 20);
 }
 
 // All of it is away: after 1.2 s nothing is asked of it any more.
 BOOST_AUTO_TEST_CASE(StoreThatIsAwayIsNotFlooded) {
-  Replay replay;
+  SaveSimulation replay;
   for (int job = 0; job < 3000; ++job)
-    replay.away.insert(Replay::PartOf(std::to_string(job)));
-  replay.policy.Confirmed(replay.now);
+    replay.unavailable_parts.insert(
+        SaveSimulation::PartOf(std::to_string(job)));
+  replay.policy.OnOwnershipConfirmed(replay.now);
   for (int turn = 0; turn < 150; ++turn) {
-    replay.HandIn();
-    replay.Turn();
+    replay.AddJob();
+    replay.RunStep();
   }
   const int calls = replay.call_count;
   for (int turn = 0; turn < 350; ++turn) {
-    replay.HandIn();
-    replay.Turn();
+    replay.AddJob();
+    replay.RunStep();
   }
   BOOST_TEST(replay.call_count == calls);
 }
@@ -165,12 +170,12 @@
 // A store that is only asked too often is not asked more often for that.
 BOOST_AUTO_TEST_CASE(ThrottledWritesAreNotSplit) {
   SavePolicy policy(true);
-  policy.Answered({.outcome = WriteOutcome::kNotDone, .throttled = true}, 9,
-                  milliseconds(5), seconds(9));
-  BOOST_TEST(!policy.one_part(seconds(9)));
-  policy.Answered({.outcome = WriteOutcome::kNotDone}, 9, milliseconds(5),
-                  seconds(9));
-  BOOST_TEST(policy.one_part(seconds(9)));
+  policy.OnWriteFinished({.outcome = WriteOutcome::kNotDone, .throttled = true},
+                         9, milliseconds(5), seconds(9));
+  BOOST_TEST(!policy.single_part_only(seconds(9)));
+  policy.OnWriteFinished({.outcome = WriteOutcome::kNotDone}, 9,
+                         milliseconds(5), seconds(9));
+  BOOST_TEST(policy.single_part_only(seconds(9)));
 }
 
 }  // namespace
