--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -80,7 +80,7 @@
     if (!*lives)
       return;
     --this->saves_in_flight;
-    this->saves.Settled(batch);
+    this->saves.OnWriteFinished(batch);
     const base::Micros now = base::MonotonicNow();
     this->save_policy.OnWriteFinished(result, PartsOf(batch), now - sent, now);
     this->TakeSaved(batch, result);
@@ -101,7 +101,7 @@
       result.outcome == platform::WriteOutcome::kRefused && batch.size() > 1;
   for (const scheduler::SaveProgress& save : batch) {
     if (spoilt) {
-      this->saves.AddAlone(save);
+      this->saves.AddUnbatched(save);
       continue;
     }
     const auto found = rows.find(save.job);
--- a/entry/save_policy_test.cc
+++ b/entry/save_policy_test.cc
@@ -51,7 +51,7 @@
         std::any_of(parts.begin(), parts.end(), [this](const auto& part) {
           return this->unavailable_parts.contains(part);
         });
-    this->saves.Settled(call.batch);
+    this->saves.OnWriteFinished(call.batch);
     this->policy.OnWriteFinished(
         {.outcome = refused ? WriteOutcome::kNotDone : WriteOutcome::kDone},
         parts.size(), this->now - call.sent_at, this->now);
--- a/entry/save_queue.cc
+++ b/entry/save_queue.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // A row saved is a condition and a put; a job that is over loses its other row.
-std::size_t EntriesOf(const scheduler::SaveProgress& save) {
+std::size_t EntryCount(const scheduler::SaveProgress& save) {
   return save.over ? 3 : 2;
 }
 
@@ -22,53 +22,55 @@
 
 void SaveQueue::Add(scheduler::SaveProgress save) {
   const std::string part = PartOf(save);
-  this->parts[part].push_back(std::move(save));
+  this->saves_by_part[part].push_back(std::move(save));
 }
 
-void SaveQueue::AddAlone(scheduler::SaveProgress save) {
-  this->alone.push_back(std::move(save));
+void SaveQueue::AddUnbatched(scheduler::SaveProgress save) {
+  this->unbatched.push_back(std::move(save));
 }
 
-std::vector<scheduler::SaveProgress> SaveQueue::TakeAlone() {
+std::vector<scheduler::SaveProgress> SaveQueue::TakeUnbatched() {
   std::vector<scheduler::SaveProgress> batch;
-  batch.push_back(std::move(this->alone.front()));
-  this->alone.pop_front();
-  this->busy.insert(PartOf(batch.front()));
+  batch.push_back(std::move(this->unbatched.front()));
+  this->unbatched.pop_front();
+  this->parts_in_flight.insert(PartOf(batch.front()));
   return batch;
 }
 
 // Parts take turns: a write begins with the part after the last one's, so that
 // none waits for ever while others always have something.
-std::vector<scheduler::SaveProgress> SaveQueue::Take(bool one_part) {
-  if (!this->alone.empty() && !this->busy.contains(PartOf(this->alone.front())))
-    return this->TakeAlone();
+std::vector<scheduler::SaveProgress> SaveQueue::Take(bool single_part) {
+  if (!this->unbatched.empty() &&
+      !this->parts_in_flight.contains(PartOf(this->unbatched.front())))
+    return this->TakeUnbatched();
   std::vector<scheduler::SaveProgress> batch;
-  platform::BatchRoom room(!one_part);
-  auto next = this->parts.upper_bound(this->last_part);
-  for (std::size_t left = this->parts.size(); left > 0; --left) {
-    if (next == this->parts.end())
-      next = this->parts.begin();
+  platform::BatchRoom room(!single_part);
+  auto next = this->saves_by_part.upper_bound(this->last_written_part);
+  for (std::size_t left = this->saves_by_part.size(); left > 0; --left) {
+    if (next == this->saves_by_part.end())
+      next = this->saves_by_part.begin();
     const std::string part = next->first;
-    Waiting& waiting = next->second;
-    const bool may_go = !one_part || !this->busy.contains(part);
+    Saves& waiting = next->second;
+    const bool may_go = !single_part || !this->parts_in_flight.contains(part);
     while (may_go && !waiting.empty() &&
-           room.Take(part, EntriesOf(waiting.front()),
+           room.Take(part, EntryCount(waiting.front()),
                      waiting.front().text.size())) {
       batch.push_back(std::move(waiting.front()));
       waiting.pop_front();
-      this->busy.insert(part);
-      this->last_part = part;
+      this->parts_in_flight.insert(part);
+      this->last_written_part = part;
     }
-    next = waiting.empty() ? this->parts.erase(next) : std::next(next);
-    if (one_part && !batch.empty())
+    next = waiting.empty() ? this->saves_by_part.erase(next) : std::next(next);
+    if (single_part && !batch.empty())
       break;
   }
   return batch;
 }
 
-void SaveQueue::Settled(const std::vector<scheduler::SaveProgress>& batch) {
+void SaveQueue::OnWriteFinished(
+    const std::vector<scheduler::SaveProgress>& batch) {
   for (const scheduler::SaveProgress& save : batch)
-    this->busy.erase(PartOf(save));
+    this->parts_in_flight.erase(PartOf(save));
 }
 
 }  // namespace quartzhoist::entry
--- a/entry/save_queue.h
+++ b/entry/save_queue.h
@@ -18,25 +18,27 @@
  public:
   void Add(scheduler::SaveProgress save);
   // It is written alone from now on: the write that it shared was refused.
-  void AddAlone(scheduler::SaveProgress save);
+  void AddUnbatched(scheduler::SaveProgress save);
 
   // The next write's saves, at most one write's worth; none if nothing may go.
-  // With `one_part` they are of one part that has no write on its way.
-  std::vector<scheduler::SaveProgress> Take(bool one_part);
+  // With `single_part` they are of one part that has no write on its way.
+  std::vector<scheduler::SaveProgress> Take(bool single_part);
   // The write of these has been answered, or given up.
-  void Settled(const std::vector<scheduler::SaveProgress>& batch);
+  void OnWriteFinished(const std::vector<scheduler::SaveProgress>& batch);
 
-  bool empty() const { return this->parts.empty() && this->alone.empty(); }
+  bool empty() const {
+    return this->saves_by_part.empty() && this->unbatched.empty();
+  }
 
  private:
-  using Waiting = std::deque<scheduler::SaveProgress>;
+  using Saves = std::deque<scheduler::SaveProgress>;
 
-  std::vector<scheduler::SaveProgress> TakeAlone();
+  std::vector<scheduler::SaveProgress> TakeUnbatched();
 
-  std::map<std::string, Waiting> parts;  // none of them empty
-  Waiting alone;
-  std::set<std::string> busy;  // parts with a write on its way
-  std::string last_part;       // the next write begins after it
+  std::map<std::string, Saves> saves_by_part;  // none of them empty
+  Saves unbatched;
+  std::set<std::string> parts_in_flight;  // parts with a write on its way
+  std::string last_written_part;          // the next write begins after it
 };
 
 }  // namespace quartzhoist::entry
--- a/entry/save_queue_test.cc
+++ b/entry/save_queue_test.cc
@@ -41,7 +41,7 @@
   queue.Add(SaveOf("0"));
   BOOST_TEST(queue.Take(true).empty());
   for (const auto& batch : writes)
-    queue.Settled(batch);
+    queue.OnWriteFinished(batch);
   BOOST_TEST(queue.Take(true).size() == 1U);
 }
 
@@ -58,7 +58,7 @@
 BOOST_AUTO_TEST_CASE(SaveWhoseWriteWasRefusedGoesAlone) {
   SaveQueue queue;
   queue.Add(SaveOf("1"));
-  queue.AddAlone(SaveOf("2"));
+  queue.AddUnbatched(SaveOf("2"));
   const std::vector<scheduler::SaveProgress> first = queue.Take(false);
   BOOST_TEST(first.size() == 1U);
   BOOST_TEST(first.front().job == "2");
