--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -124,7 +124,7 @@
 }
 
 void Manager::SetWave(const scheduler::Wave& wave) {
-  this->waves.Put(wave);
+  this->waves.AddWave(wave);
 }
 
 void Manager::Confirmed(base::Micros asked) {
@@ -252,7 +252,7 @@
     this->SaveAll();
     this->RecordWorkers();
     this->WriteCounts();
-    this->waves.Act(base::MonotonicNow());
+    this->waves.Poll(base::MonotonicNow());
   }
   this->ReadJobsAgain();
   this->LogPools();
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -110,7 +110,7 @@
       this->saves.Add(save);
       continue;
     }
-    this->scheduler.Saved(SaveResultOf(save, result, there), now);
+    this->scheduler.Saved(MakeSaveResult(save, result, there), now);
   }
 }
 
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -144,7 +144,7 @@
   this->AddWorkers();
   this->scheduler.SetConfig(this->config, base::MonotonicNow());
   this->AddKeptJobs();
-  this->waves.Begin(*this->kept_waves, base::MonotonicNow());
+  this->waves.Load(*this->kept_waves, base::MonotonicNow());
   base::Log(base::Event::kOwnershipReady,
             {{"shard", this->shard.number},
              {"epoch", this->epoch},
--- a/entry/save_result.cc
+++ b/entry/save_result.cc
@@ -11,21 +11,21 @@
 // What another writer recorded. The scheduler takes it in before it writes the
 // row again: ends that an earlier owner has saved, and let its workers forget,
 // stand nowhere else. Nothing if the row is gone or cannot be read.
-std::optional<jobs::Progress> StoredProgress(const platform::Row& there) {
-  const std::optional<KeptProgress> kept = DecodeKept(there.value);
+std::optional<jobs::Progress> DecodeStoredProgress(const platform::Row& row) {
+  const std::optional<KeptProgress> kept = DecodeKept(row.value);
   std::optional<jobs::Progress> stored;
   if (kept)
     stored = jobs::DecodeProgress(kept->text);
-  if (!stored && there.version > 0)
-    base::Log(base::Event::kRowMalformed, {{"row", there.at.key}});
+  if (!stored && row.version > 0)
+    base::Log(base::Event::kRowMalformed, {{"row", row.at.key}});
   return stored;
 }
 
 }  // namespace
 
-scheduler::SaveResult SaveResultOf(const scheduler::SaveProgress& save,
-                                   const platform::WriteResult& result,
-                                   const platform::Row* there) {
+scheduler::SaveResult MakeSaveResult(const scheduler::SaveProgress& save,
+                                     const platform::WriteResult& result,
+                                     const platform::Row* stored_row) {
   scheduler::SaveResult saved{.job = save.job, .change = save.change};
   switch (result.outcome) {
     case platform::WriteOutcome::kDone:
@@ -33,15 +33,15 @@
       saved.version = result.version;
       break;
     case platform::WriteOutcome::kConflict:
-      saved.version = there ? there->version : 0;
+      saved.version = stored_row ? stored_row->version : 0;
       // An earlier try whose answer was lost wrote just this.
-      if (there && there->value == save.text) {
+      if (stored_row && stored_row->value == save.text) {
         saved.outcome = scheduler::SaveOutcome::kSaved;
         break;
       }
       saved.outcome = scheduler::SaveOutcome::kConflict;
-      if (there)
-        saved.stored = StoredProgress(*there);
+      if (stored_row)
+        saved.stored = DecodeStoredProgress(*stored_row);
       break;
     case platform::WriteOutcome::kRefused:
       saved.outcome = scheduler::SaveOutcome::kRefused;
--- a/entry/save_result.h
+++ b/entry/save_result.h
@@ -9,10 +9,10 @@
 
 namespace quartzhoist::entry {
 
-// `there`: the job's row as a conflict showed it, or null.
-scheduler::SaveResult SaveResultOf(const scheduler::SaveProgress& save,
-                                   const platform::WriteResult& result,
-                                   const platform::Row* there);
+// `stored_row`: the job's row as a conflict showed it, or null.
+scheduler::SaveResult MakeSaveResult(const scheduler::SaveProgress& save,
+                                     const platform::WriteResult& result,
+                                     const platform::Row* stored_row);
 
 }  // namespace quartzhoist::entry
 
--- a/entry/save_result_test.cc
+++ b/entry/save_result_test.cc
@@ -42,7 +42,8 @@
 BOOST_AUTO_TEST_CASE(ConflictTellsWhatAnotherOwnerRecorded) {
   const platform::Row there =
       RowOf(EncodeKept({.text = jobs::EncodeProgress(OneDone())}));
-  const scheduler::SaveResult result = SaveResultOf(Save(), kConflict, &there);
+  const scheduler::SaveResult result =
+      MakeSaveResult(Save(), kConflict, &there);
   BOOST_CHECK(result.outcome == scheduler::SaveOutcome::kConflict);
   BOOST_TEST(result.version == 12U);
   BOOST_REQUIRE(result.stored.has_value());
@@ -53,7 +54,8 @@
 
 BOOST_AUTO_TEST_CASE(ConflictWithAnOwnEarlierTryIsASave) {
   const platform::Row there = RowOf(Save().text);
-  const scheduler::SaveResult result = SaveResultOf(Save(), kConflict, &there);
+  const scheduler::SaveResult result =
+      MakeSaveResult(Save(), kConflict, &there);
   BOOST_CHECK(result.outcome == scheduler::SaveOutcome::kSaved);
   BOOST_TEST(result.version == 12U);
 }
@@ -62,7 +64,8 @@
   const platform::Row unreadable = RowOf("nonsense that is no progress at all");
   for (const platform::Row* there :
        {static_cast<const platform::Row*>(nullptr), &unreadable}) {
-    const scheduler::SaveResult result = SaveResultOf(Save(), kConflict, there);
+    const scheduler::SaveResult result =
+        MakeSaveResult(Save(), kConflict, there);
     BOOST_CHECK(result.outcome == scheduler::SaveOutcome::kConflict);
     BOOST_TEST(!result.stored.has_value());
     BOOST_TEST(result.version == (there ? 12U : 0U));
--- a/entry/wave_records.cc
+++ b/entry/wave_records.cc
@@ -16,10 +16,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr base::Micros kWriteAgain = milliseconds(500);
+constexpr base::Micros kRetryInterval = milliseconds(500);
 // How often an owner looks whether other shards are done with an open wave: it
 // takes up their share that much later. A box is away for 2 s (upkeep_s).
-constexpr base::Micros kReadOthers = seconds(1);
+constexpr base::Micros kReadInterval = seconds(1);
 constexpr std::string_view kDoneSuffix = "!done";
 
 // A row of kWaveTable: the boxes of the wave that have begun, or that the shard
@@ -43,37 +43,37 @@
 }  // namespace
 
 WaveRecords::WaveRecords(
-    platform::Store& on,
-    const Shard& of,
+    platform::Store& wave_store,
+    const Shard& own_shard,
     std::function<void(const scheduler::Wave& share,
                        const std::vector<std::string>& begun)> handler)
-    : store(on),
-      shard(of),
-      on_share(std::move(handler)),
+    : store(wave_store),
+      shard(own_shard),
+      on_share_changed(std::move(handler)),
       alive(std::make_shared<bool>(true)) {}
 
 WaveRecords::~WaveRecords() {
   *this->alive = false;
 }
 
-void WaveRecords::Begin(const std::vector<platform::Row>& kept,
-                        base::Micros now) {
+void WaveRecords::Load(const std::vector<platform::Row>& kept,
+                       base::Micros now) {
   for (const platform::Row& row : kept)
-    this->TakeRow(row);
-  this->has_begun = true;
-  this->next_read = now + kReadOthers;
+    this->ApplyRow(row);
+  this->is_loaded = true;
+  this->next_read = now + kReadInterval;
   for (const auto& [number, record] : this->records)
-    this->ShareOut(record);
+    this->NotifyShare(record);
 }
 
-void WaveRecords::Put(const scheduler::Wave& wave) {
+void WaveRecords::AddWave(const scheduler::Wave& wave) {
   Record& record = this->records[wave.number];
   record.wave = wave;
-  record.known = true;
-  this->ShareOut(record);
+  record.has_wave = true;
+  this->NotifyShare(record);
 }
 
-void WaveRecords::TakeRow(const platform::Row& row) {
+void WaveRecords::ApplyRow(const platform::Row& row) {
   const WaveKey key = ParseWaveKey(row.at.key);
   Record& record = this->records[key.wave];
   for (int number = 0; number < this->shard.count; ++number) {
@@ -81,30 +81,31 @@
     if (row.at.part != SmallPart(kWaveTable, holder))
       continue;
     if (key.is_done)
-      record.done.insert(number);
+      record.done_shards.insert(number);
     else if (number == this->shard.number)
-      record.begun = DecodeNames(row.value);
+      record.started_boxes = DecodeNames(row.value);
   }
 }
 
-void WaveRecords::ShareOut(const Record& record) {
-  if (!this->has_begun || !record.known)
+void WaveRecords::NotifyShare(const Record& record) {
+  if (!this->is_loaded || !record.has_wave)
     return;
-  this->on_share(ShareOf(record.wave, this->shard, record.done), record.begun);
+  this->on_share_changed(ShareOf(record.wave, this->shard, record.done_shards),
+                         record.started_boxes);
 }
 
 void WaveRecords::Report(const scheduler::ReportWave& report) {
   Record& record = this->records[report.wave];
   record.reported = true;
-  this->WriteBegun(report);
+  this->WriteStartedBoxes(report);
   if (report.state == scheduler::WaveState::kCompleted)
     this->WriteDone(report);
-  else if (!record.running_told)
-    this->Tell(report.wave, scheduler::WaveState::kRunning);
+  else if (!record.running_written)
+    this->WriteStatus(report.wave, scheduler::WaveState::kRunning);
 }
 
 // For a later owner. Without a condition: the list only grows.
-void WaveRecords::WriteBegun(const scheduler::ReportWave& report) const {
+void WaveRecords::WriteStartedBoxes(const scheduler::ReportWave& report) const {
   const platform::WriteBatch write{
       .conditions = {},
       .puts = {{.at = SmallRow(kWaveTable, std::to_string(report.wave),
@@ -127,36 +128,36 @@
       return;
     Record& record = this->records[report.wave];
     if (result.outcome != platform::WriteOutcome::kDone) {
-      record.unwritten.push_back(report);
+      record.unwritten_reports.push_back(report);
       return;
     }
-    record.done.insert(this->shard.number);
-    this->TellIfCompleted(report.wave);
+    record.done_shards.insert(this->shard.number);
+    this->WriteStatusIfCompleted(report.wave);
   });
 }
 
-void WaveRecords::TellIfCompleted(int wave) {
+void WaveRecords::WriteStatusIfCompleted(int wave) {
   const Record& record = this->records[wave];
-  if (!record.known || record.completed_told)
+  if (!record.has_wave || record.completed_written)
     return;
   for (int number = 0; number < this->shard.count; ++number) {
     const Shard other{.number = number, .count = this->shard.count};
     const bool has_boxes = std::any_of(
         record.wave.boxes.begin(), record.wave.boxes.end(),
         [&](const std::string& box) { return HoldsBox(other, box); });
-    if (has_boxes && !record.done.contains(number))
+    if (has_boxes && !record.done_shards.contains(number))
       return;
   }
-  this->Tell(wave, scheduler::WaveState::kCompleted);
+  this->WriteStatus(wave, scheduler::WaveState::kCompleted);
 }
 
 // For the operators. A late `running` cannot replace `completed`: it must find
 // no status.
-void WaveRecords::Tell(int wave, scheduler::WaveState state) {
+void WaveRecords::WriteStatus(int wave, scheduler::WaveState state) {
   Record& record = this->records[wave];
-  if (record.telling)
+  if (record.status_write_in_flight)
     return;
-  record.telling = true;
+  record.status_write_in_flight = true;
   const platform::RowKey status{
       .table = std::string(platform::kStatusTable),
       .part = "",
@@ -169,49 +170,49 @@
   this->store.Write(write, [this, wave, state, lives = this->alive](
                                const platform::WriteResult& result) {
     if (*lives)
-      this->TakeTold(wave, state, result);
+      this->OnStatusWritten(wave, state, result);
   });
 }
 
-void WaveRecords::TakeTold(int wave,
-                           scheduler::WaveState state,
-                           const platform::WriteResult& result) {
+void WaveRecords::OnStatusWritten(int wave,
+                                  scheduler::WaveState state,
+                                  const platform::WriteResult& result) {
   Record& record = this->records[wave];
-  record.telling = false;
+  record.status_write_in_flight = false;
   const bool completed = state == scheduler::WaveState::kCompleted;
   const bool settled = result.outcome == platform::WriteOutcome::kDone ||
                        result.outcome == platform::WriteOutcome::kConflict;
   base::Log(base::Event::kWaveReported,
             {{"wave", wave}, {"completed", completed}, {"settled", settled}});
   if (settled)
-    (completed ? record.completed_told : record.running_told) = true;
+    (completed ? record.completed_written : record.running_written) = true;
 }
 
-void WaveRecords::Act(base::Micros now) {
-  if (now >= this->next_try) {
-    this->next_try = now + kWriteAgain;
+void WaveRecords::Poll(base::Micros now) {
+  if (now >= this->next_retry) {
+    this->next_retry = now + kRetryInterval;
     for (auto& [number, record] : this->records) {
       for (const scheduler::ReportWave& report :
-           std::exchange(record.unwritten, {}))
+           std::exchange(record.unwritten_reports, {}))
         this->WriteDone(report);
-      if (record.done.contains(this->shard.number))
-        this->TellIfCompleted(number);
-      else if (record.reported && !record.running_told)
-        this->Tell(number, scheduler::WaveState::kRunning);
+      if (record.done_shards.contains(this->shard.number))
+        this->WriteStatusIfCompleted(number);
+      else if (record.reported && !record.running_written)
+        this->WriteStatus(number, scheduler::WaveState::kRunning);
     }
   }
   const bool is_open = std::any_of(
       this->records.begin(), this->records.end(),
-      [](const auto& entry) { return !entry.second.completed_told; });
-  if (this->shard.count == 1 || !is_open || this->reading ||
+      [](const auto& entry) { return !entry.second.completed_written; });
+  if (this->shard.count == 1 || !is_open || this->read_in_flight ||
       now < this->next_read)
     return;
-  this->next_read = now + kReadOthers;
-  this->ReadOthers();
+  this->next_read = now + kReadInterval;
+  this->ReadOtherShards();
 }
 
-void WaveRecords::ReadOthers() {
-  this->reading = true;
+void WaveRecords::ReadOtherShards() {
+  this->read_in_flight = true;
   platform::ReadTable(
       this->store, std::string(kWaveTable),
       SmallParts(kWaveTable, this->shard.count),
@@ -219,17 +220,17 @@
           const std::optional<platform::TableContent>& content) {
         if (!*lives)
           return;
-        this->reading = false;
+        this->read_in_flight = false;
         if (!content)
           return;
         for (const platform::Row& row : content->rows) {
           const WaveKey key = ParseWaveKey(row.at.key);
           Record& record = this->records[key.wave];
-          const std::size_t before = record.done.size();
+          const std::size_t before = record.done_shards.size();
           if (key.is_done)
-            this->TakeRow(row);
-          if (record.done.size() != before)
-            this->ShareOut(record);
+            this->ApplyRow(row);
+          if (record.done_shards.size() != before)
+            this->NotifyShare(record);
         }
       });
 }
--- a/entry/wave_records.h
+++ b/entry/wave_records.h
@@ -34,45 +34,45 @@
   WaveRecords& operator=(const WaveRecords&) = delete;
 
   // What the store holds at the beginning; waves are kept back until then.
-  void Begin(const std::vector<platform::Row>& kept, base::Micros now);
-  void Put(const scheduler::Wave& wave);
+  void Load(const std::vector<platform::Row>& kept, base::Micros now);
+  void AddWave(const scheduler::Wave& wave);
   void Report(const scheduler::ReportWave& report);
   // Writes again what could not be written, and looks at the other shards.
-  void Act(base::Micros now);
+  void Poll(base::Micros now);
 
  private:
   struct Record {
     scheduler::Wave wave;  // whole, once it is known
-    bool known = false;
-    std::vector<std::string> begun;  // by earlier owners
-    std::set<int> done;              // shards
-    std::vector<scheduler::ReportWave> unwritten;
+    bool has_wave = false;
+    std::vector<std::string> started_boxes;  // by earlier owners
+    std::set<int> done_shards;               // shards
+    std::vector<scheduler::ReportWave> unwritten_reports;
     bool reported = false;  // this shard has begun, or is done
-    bool running_told = false;
-    bool completed_told = false;
-    bool telling = false;  // a write of its state is on its way
+    bool running_written = false;
+    bool completed_written = false;
+    bool status_write_in_flight = false;  // a write of its state is on its way
   };
 
-  void TakeRow(const platform::Row& row);
-  void ShareOut(const Record& record);
-  void WriteBegun(const scheduler::ReportWave& report) const;
+  void ApplyRow(const platform::Row& row);
+  void NotifyShare(const Record& record);
+  void WriteStartedBoxes(const scheduler::ReportWave& report) const;
   void WriteDone(const scheduler::ReportWave& report);
-  void Tell(int wave, scheduler::WaveState state);
-  void TellIfCompleted(int wave);
-  void TakeTold(int wave,
-                scheduler::WaveState state,
-                const platform::WriteResult& result);
-  void ReadOthers();
+  void WriteStatus(int wave, scheduler::WaveState state);
+  void WriteStatusIfCompleted(int wave);
+  void OnStatusWritten(int wave,
+                       scheduler::WaveState state,
+                       const platform::WriteResult& result);
+  void ReadOtherShards();
 
   platform::Store& store;
   Shard shard;
   std::function<void(const scheduler::Wave& share,
                      const std::vector<std::string>& begun)>
-      on_share;
+      on_share_changed;
   std::map<int, Record> records;  // by the wave's number
-  bool has_begun = false;
-  bool reading = false;
-  base::Micros next_try{};
+  bool is_loaded = false;
+  bool read_in_flight = false;
+  base::Micros next_retry{};
   base::Micros next_read{};
   // Calls still on their way when this is destroyed find it unset.
   std::shared_ptr<bool> alive;
--- a/entry/wave_records_test.cc
+++ b/entry/wave_records_test.cc
@@ -16,7 +16,7 @@
 
 using testing::StoreBench;
 
-constexpr base::Micros kEnough = std::chrono::seconds(20);
+constexpr base::Micros kTimeout = std::chrono::seconds(20);
 constexpr int kShards = 2;
 constexpr int kWave = 4;
 
@@ -35,12 +35,12 @@
                 [this](const scheduler::Wave& share,
                        const std::vector<std::string>& begun) {
                   this->share = share;
-                  this->begun_before = begun;
+                  this->previously_started = begun;
                 }) {}
 
   void Begin(const std::vector<platform::Row>& kept) {
-    this->records.Begin(kept, base::MonotonicNow());
-    this->records.Put(TenBoxes());
+    this->records.Load(kept, base::MonotonicNow());
+    this->records.AddWave(TenBoxes());
   }
 
   void Report(scheduler::WaveState state) {
@@ -49,7 +49,7 @@
   }
 
   scheduler::Wave share;
-  std::vector<std::string> begun_before;
+  std::vector<std::string> previously_started;
   WaveRecords records;
 };
 
@@ -61,8 +61,8 @@
   }
 
   void Act() {
-    this->first.records.Act(base::MonotonicNow());
-    this->second.records.Act(base::MonotonicNow());
+    this->first.records.Poll(base::MonotonicNow());
+    this->second.records.Poll(base::MonotonicNow());
   }
 
   Owner first{*this, 0};
@@ -88,13 +88,13 @@
              4);
   bench.first.Report(scheduler::WaveState::kRunning);
   bench.first.Report(scheduler::WaveState::kCompleted);
-  BOOST_REQUIRE(bench.Within(kEnough, [&] {
+  BOOST_REQUIRE(bench.Within(kTimeout, [&] {
     bench.Act();
     return bench.second.share.most_at_once == 4;
   }));
   BOOST_TEST(Has(Status(bench), "running"));
   bench.second.Report(scheduler::WaveState::kCompleted);
-  BOOST_TEST(bench.Within(kEnough, [&] {
+  BOOST_TEST(bench.Within(kTimeout, [&] {
     bench.Act();
     return Has(Status(bench), "completed");
   }));
@@ -107,10 +107,10 @@
   bench.second.Report(scheduler::WaveState::kRunning);
   const std::string table(kWaveTable);
   BOOST_REQUIRE(bench.Within(
-      kEnough, [&] { return bench.standin.Table(table).size() == 3U; }));
+      kTimeout, [&] { return bench.standin.Table(table).size() == 3U; }));
   Owner later(bench, 1);
   later.Begin(bench.standin.Table(table));
-  BOOST_TEST(later.begun_before == bench.second.share.boxes,
+  BOOST_TEST(later.previously_started == bench.second.share.boxes,
              boost::test_tools::per_element());
   BOOST_TEST(later.share.most_at_once == 4);
 }
--- a/testing/scheduler_model_store.cc
+++ b/testing/scheduler_model_store.cc
@@ -96,7 +96,7 @@
         .outcome = written ? platform::WriteOutcome::kDone
                            : platform::WriteOutcome::kConflict,
         .version = stored.version};
-    const auto result = entry::SaveResultOf(kept, outcome, &there);
+    const auto result = entry::MakeSaveResult(kept, outcome, &there);
     if (!lost)
       this->After(milliseconds(3), [answer, result] { answer(result); });
   });
