--- a/entry/decision_log.cc
+++ b/entry/decision_log.cc
@@ -34,7 +34,7 @@
   std::string text;
   for (const auto& [life, loss] : losses) {
     text += fmt::format("{}{} run {} {}{}", text.empty() ? "" : ", ",
-                        jobs::TextOf(life), loss.run,
+                        jobs::FormatWorkerIncarnation(life), loss.run,
                         loss.has_crashed ? "crashed" : "silent",
                         loss.was_alone ? " alone" : "");
   }
@@ -64,7 +64,7 @@
   const bool was_heard = lost.heard_ago >= base::Micros::zero();
   base::Log(base::Event::kWorkerLost,
             {{"worker", lost.worker.id},
-             {"born_ms", lost.worker.born_ms},
+             {"born_ms", lost.worker.start_ms},
              {"box", lost.box},
              {"sign", base::NameOf(scheduler::kLossSignNames, lost.sign)},
              {"heard_ms", was_heard ? base::Millis(lost.heard_ago) : -1},
@@ -75,7 +75,7 @@
 void LogWorkerRestarted(const scheduler::WorkerRestarted& restarted) {
   base::Log(base::Event::kWorkerRestarted,
             {{"worker", restarted.worker.id},
-             {"born_ms", restarted.worker.born_ms},
+             {"born_ms", restarted.worker.start_ms},
              {"earlier_born_ms", restarted.earlier_born_ms},
              {"ends_read", restarted.ends_read},
              {"moved_runs", restarted.moved_runs}});
@@ -85,7 +85,7 @@
   const jobs::TaskId& task = skipped.end.task;
   base::Log(base::Event::kEndSkipped,
             {{"worker", skipped.worker.id},
-             {"born_ms", skipped.worker.born_ms},
+             {"born_ms", skipped.worker.start_ms},
              {"number", skipped.end.number},
              {"ends_read", skipped.ends_read},
              {"task", fmt::format("{}.{}.{}.{}", task.job, task.occurrence,
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -172,10 +172,10 @@
     return;
   this->orders_held = false;
   base::Log(base::Event::kOrdersResumed, {{"epoch", this->epoch}});
-  std::vector<jobs::WorkerLife> waiting;
+  std::vector<jobs::WorkerIncarnation> waiting;
   for (const auto& [worker, queue] : this->orders)
     waiting.push_back(worker);
-  for (const jobs::WorkerLife& worker : waiting)
+  for (const jobs::WorkerIncarnation& worker : waiting)
     this->SendNext(worker);
 }
 
@@ -322,7 +322,7 @@
   std::visit(Visitor{*this}, action);
 }
 
-platform::OrderTo Manager::To(const jobs::WorkerLife& worker) const {
+platform::OrderTo Manager::To(const jobs::WorkerIncarnation& worker) const {
   const scheduler::Worker* known = this->scheduler.FindWorker(worker);
   return {.worker = worker,
           .address = known ? known->info.address : std::string(),
@@ -330,13 +330,13 @@
 }
 
 void Manager::Enqueue(Order order) {
-  const jobs::WorkerLife to =
+  const jobs::WorkerIncarnation to =
       std::visit([](const auto& one) { return one.worker; }, order);
   this->orders[to].waiting.push_back(std::move(order));
   this->SendNext(to);
 }
 
-void Manager::SendNext(const jobs::WorkerLife& worker) {
+void Manager::SendNext(const jobs::WorkerIncarnation& worker) {
   WorkerOrders& queue = this->orders[worker];
   if (queue.in_flight || queue.waiting.empty() || !this->MayOrder())
     return;
@@ -362,7 +362,7 @@
   }
 }
 
-void Manager::OrderAnswered(const jobs::WorkerLife& worker,
+void Manager::OrderAnswered(const jobs::WorkerIncarnation& worker,
                             scheduler::OrderOutcome outcome) {
   const bool silent = outcome == scheduler::OrderOutcome::kUnknown;
   WorkerOrders& queue = this->orders[worker];
@@ -386,7 +386,7 @@
     this->ActSoon();
 }
 
-void Manager::Send(const jobs::WorkerLife& worker,
+void Manager::Send(const jobs::WorkerIncarnation& worker,
                    const scheduler::StartRun& order) {
   const base::Micros now = base::MonotonicNow();
   const scheduler::Worker* known = this->scheduler.FindWorker(worker);
@@ -424,7 +424,7 @@
       });
 }
 
-void Manager::Send(const jobs::WorkerLife& worker,
+void Manager::Send(const jobs::WorkerIncarnation& worker,
                    const scheduler::StopRun& order) {
   this->workers.Stop(this->To(worker), order,
                      [this, worker, order,
@@ -437,7 +437,7 @@
                      });
 }
 
-void Manager::Send(const jobs::WorkerLife& worker,
+void Manager::Send(const jobs::WorkerIncarnation& worker,
                    const scheduler::PaceRun& order) {
   this->workers.Pace(
       this->To(worker), order,
@@ -451,7 +451,7 @@
 void Manager::SendLook(const scheduler::LookAt& order) {
   const base::Micros now = base::MonotonicNow();
   const base::Micros end = this->scheduler.LeaseEnd(now);
-  const jobs::WorkerLife worker = order.worker;
+  const jobs::WorkerIncarnation worker = order.worker;
   const std::int64_t deadline =
       order.renews ? this->scheduler.Deadline(worker, end) : 0;
   this->scheduler.LookSent(order, now);
--- a/entry/manager.h
+++ b/entry/manager.h
@@ -81,8 +81,8 @@
   // Workers of the list of those that may hold a lease: held by this owner, and
   // carried from earlier ones.
   struct WorkerNames {
-    std::vector<jobs::WorkerLife> held;
-    std::vector<jobs::WorkerLife> carried;
+    std::vector<jobs::WorkerIncarnation> held;
+    std::vector<jobs::WorkerIncarnation> carried;
 
     bool operator==(const WorkerNames&) const = default;
   };
@@ -114,12 +114,15 @@
   void CarryAll();
   void Carry(scheduler::Action action);
   void Enqueue(Order order);
-  void SendNext(const jobs::WorkerLife& worker);
-  void Send(const jobs::WorkerLife& worker, const scheduler::StartRun& order);
-  void Send(const jobs::WorkerLife& worker, const scheduler::StopRun& order);
-  void Send(const jobs::WorkerLife& worker, const scheduler::PaceRun& order);
+  void SendNext(const jobs::WorkerIncarnation& worker);
+  void Send(const jobs::WorkerIncarnation& worker,
+            const scheduler::StartRun& order);
+  void Send(const jobs::WorkerIncarnation& worker,
+            const scheduler::StopRun& order);
+  void Send(const jobs::WorkerIncarnation& worker,
+            const scheduler::PaceRun& order);
   void GiveBack(const std::deque<Order>& given);
-  void OrderAnswered(const jobs::WorkerLife& worker,
+  void OrderAnswered(const jobs::WorkerIncarnation& worker,
                      scheduler::OrderOutcome outcome);
   void SendLook(const scheduler::LookAt& order);
   void Ask(const scheduler::AskAdvice& ask);
@@ -156,7 +159,7 @@
   void ListBoxes(const std::string& page,
                  std::vector<scheduler::BoxInfo> so_far,
                  base::Micros asked);
-  platform::OrderTo To(const jobs::WorkerLife& worker) const;
+  platform::OrderTo To(const jobs::WorkerIncarnation& worker) const;
   std::optional<scheduler::Job> MakeJob(const std::string& id,
                                         const AcceptedJob& accepted,
                                         jobs::Progress progress,
@@ -196,7 +199,7 @@
   // Jobs to be read anew: the store gave no answer.
   std::set<std::string> unread_jobs;
   base::Micros next_job_read{};
-  std::map<jobs::WorkerLife, WorkerOrders> orders;
+  std::map<jobs::WorkerIncarnation, WorkerOrders> orders;
   SaveQueue saves;
   int saves_in_flight = 0;
   SavePolicy save_policy;
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -292,7 +292,7 @@
     for (const auto& [task, run] : worker.runs)
       runs.push_back({platform::TaskName(task), run.number, run.percent});
     dump["workers"].push_back({{"id", id.id},
-                               {"born_ms", id.born_ms},
+                               {"born_ms", id.start_ms},
                                {"box", worker.info.box},
                                {"pool", worker.info.service},
                                {"listed", worker.listed},
--- a/entry/tables.cc
+++ b/entry/tables.cc
@@ -183,7 +183,7 @@
   for (const LeaseHolder& holder : record.workers) {
     const scheduler::WorkerInfo& worker = holder.worker;
     list.push_back({worker.life.id, worker.address, worker.box, worker.service,
-                    holder.held, holder.until_store_ms, worker.life.born_ms});
+                    holder.held, holder.until_store_ms, worker.life.start_ms});
   }
   return Json{{"epoch", record.epoch}, {"workers", std::move(list)}}.dump();
 }
@@ -203,7 +203,7 @@
       holder.until_store_ms = row.at(5).get<std::int64_t>();
       // Earlier rows have no start.
       if (row.size() > 6)
-        holder.worker.life.born_ms = row.at(6).get<std::int64_t>();
+        holder.worker.life.start_ms = row.at(6).get<std::int64_t>();
       record.workers.push_back(std::move(holder));
     }
     return record;
@@ -217,13 +217,13 @@
     Json operator()(const scheduler::MoveBox& move) const {
       return {{"box", move.box},
               {"life", move.life.id},
-              {"born", move.life.born_ms},
+              {"born", move.life.start_ms},
               {"pool", move.pool}};
     }
     Json operator()(const scheduler::UpkeepBox& upkeep) const {
       return {{"box", upkeep.box},
               {"life", upkeep.life.id},
-              {"born", upkeep.life.born_ms},
+              {"born", upkeep.life.start_ms},
               {"wave", upkeep.wave}};
     }
   };
@@ -240,9 +240,9 @@
     record.epoch = json.at("epoch").get<std::uint64_t>();
     for (const Json& call : json.at("calls")) {
       const auto box = call.at("box").get<std::string>();
-      const jobs::WorkerLife life{
+      const jobs::WorkerIncarnation life{
           .id = call.at("life").get<std::string>(),
-          .born_ms = call.value("born", std::int64_t{0})};
+          .start_ms = call.value("born", std::int64_t{0})};
       if (call.contains("wave")) {
         record.calls.emplace_back(scheduler::UpkeepBox{
             .box = box, .wave = call["wave"].get<int>(), .life = life});
--- a/jobs/jobs_test.cc
+++ b/jobs/jobs_test.cc
@@ -176,16 +176,17 @@
 }
 
 BOOST_AUTO_TEST_CASE(LivesOfOneWorkerAreToldApart) {
-  const WorkerLife first{.id = "i-1", .born_ms = 1'700'000'000'000};
-  const WorkerLife next{.id = "i-1", .born_ms = 1'700'000'000'001};
+  const WorkerIncarnation first{.id = "i-1", .start_ms = 1'700'000'000'000};
+  const WorkerIncarnation next{.id = "i-1", .start_ms = 1'700'000'000'001};
   BOOST_TEST(next.IsAfter(first));
   BOOST_TEST(!first.IsAfter(next));
-  BOOST_TEST(IsOtherLife(first, next));
-  BOOST_TEST(!IsOtherLife({.id = "i-1"}, next));
-  BOOST_TEST(IsOtherLife({.id = "i-2"}, next));
-  BOOST_CHECK(ParseWorkerLife(TextOf(next)) == next);
-  BOOST_CHECK(ParseWorkerLife("i-1") == WorkerLife{.id = "i-1"});
-  BOOST_CHECK(ParseWorkerLife("i-1@x") == WorkerLife{.id = "i-1@x"});
+  BOOST_TEST(IsDifferentIncarnation(first, next));
+  BOOST_TEST(!IsDifferentIncarnation({.id = "i-1"}, next));
+  BOOST_TEST(IsDifferentIncarnation({.id = "i-2"}, next));
+  BOOST_CHECK(ParseWorkerIncarnation(FormatWorkerIncarnation(next)) == next);
+  BOOST_CHECK(ParseWorkerIncarnation("i-1") == WorkerIncarnation{.id = "i-1"});
+  BOOST_CHECK(ParseWorkerIncarnation("i-1@x") ==
+              WorkerIncarnation{.id = "i-1@x"});
 }
 
 BOOST_AUTO_TEST_CASE(RowsWithoutStartsOfWorkersAreRead) {
@@ -194,8 +195,8 @@
       R"("stopping":{"0.0.2":["i-2",3]},"lost":{"0.0.1":{"i-3":[2,"b","c"]}}})");
   BOOST_REQUIRE(kept.has_value());
   const TaskKey task{.step = {}, .index = 1};
-  BOOST_CHECK(kept->placed.at(task).worker == WorkerLife{.id = "i-1"});
-  BOOST_CHECK(kept->losses.at(task).contains(WorkerLife{.id = "i-3"}));
+  BOOST_CHECK(kept->placed.at(task).worker == WorkerIncarnation{.id = "i-1"});
+  BOOST_CHECK(kept->losses.at(task).contains(WorkerIncarnation{.id = "i-3"}));
   BOOST_CHECK(DecodeProgress(EncodeProgress(*kept)).value().placed ==
               kept->placed);
 }
--- a/jobs/progress.cc
+++ b/jobs/progress.cc
@@ -89,7 +89,7 @@
 }
 
 Json PlacementRow(const Placement& placement) {
-  return {placement.worker.id, placement.run, placement.worker.born_ms};
+  return {placement.worker.id, placement.run, placement.worker.start_ms};
 }
 
 // [worker, run, start of the worker's life]; earlier rows have no start.
@@ -106,7 +106,8 @@
       return false;
     into[*task] = {
         .worker = {.id = placement[0].get<std::string>(),
-                   .born_ms = has_start ? placement[2].get<std::int64_t>() : 0},
+                   .start_ms =
+                       has_start ? placement[2].get<std::int64_t>() : 0},
         .run = placement[1].get<int>()};
   }
   return true;
@@ -149,7 +150,7 @@
       const auto marks = entry[2].get<std::string>();
       for (const LossMark& mark : kLossMarks)
         loss.*mark.is_set = marks.find(mark.letter) != std::string::npos;
-      progress.MarkLost(*task, ParseWorkerLife(life), loss);
+      progress.MarkLost(*task, ParseWorkerIncarnation(life), loss);
     }
   }
   return true;
@@ -197,7 +198,7 @@
 }
 
 void Progress::MarkLost(const TaskKey& task,
-                        const WorkerLife& life,
+                        const WorkerIncarnation& life,
                         const WorkerLoss& loss) {
   WorkerLoss& known = this->losses[task][life];
   if (!loss.box.empty() || known.run == 0) {
@@ -231,7 +232,8 @@
   for (const auto& [task, lives] : progress.losses) {
     Json& row_of_task = row["lost"][TaskText(task)];
     for (const auto& [life, loss] : lives)
-      row_of_task[TextOf(life)] = {loss.run, loss.box, MarksText(loss)};
+      row_of_task[FormatWorkerIncarnation(life)] = {loss.run, loss.box,
+                                                    MarksText(loss)};
   }
   return row.dump();
 }
--- a/jobs/progress.h
+++ b/jobs/progress.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "jobs/job.h"
-#include "jobs/worker_life.h"
+#include "jobs/worker_incarnation.h"
 
 namespace quartzhoist::jobs {
 
@@ -49,7 +49,7 @@
 // Where a run of a task was placed: recorded before the worker is told, so that
 // a later owner knows which worker to ask about the task.
 struct Placement {
-  WorkerLife worker;
+  WorkerIncarnation worker;
   int run = 0;
 
   bool operator==(const Placement&) const = default;
@@ -66,7 +66,7 @@
 
   bool operator==(const WorkerLoss&) const = default;
 };
-using WorkerLosses = std::map<WorkerLife, WorkerLoss>;
+using WorkerLosses = std::map<WorkerIncarnation, WorkerLoss>;
 
 struct Progress {
   JobState state = JobState::kQueued;
@@ -90,7 +90,7 @@
   void MarkFailed(const TaskKey& task, int run);
   // What is marked of a life stays so, whoever tells of it again.
   void MarkLost(const TaskKey& task,
-                const WorkerLife& life,
+                const WorkerIncarnation& life,
                 const WorkerLoss& loss);
   // How many of its runs have failed.
   int FailuresOf(const TaskKey& task) const;
--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -17,7 +17,7 @@
 namespace quartzhoist::scheduler {
 
 struct StartRun {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   jobs::TaskId task;
   int run = 0;
   std::string text;        // the job's, handed on
@@ -30,18 +30,18 @@
   std::string job;
   int occurrence = 0;
   int step = 0;
-  std::vector<jobs::WorkerLife> workers;
+  std::vector<jobs::WorkerIncarnation> workers;
 };
 
 struct StopRun {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   jobs::TaskId task;
   int run = 0;
 };
 
 // Lets a task work at this share of its speed.
 struct PaceRun {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   jobs::TaskId task;
   int run = 0;
   int percent = 100;
@@ -49,7 +49,7 @@
 
 // Renews the worker's lease and asks for its listing.
 struct LookAt {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   std::int64_t acknowledged = 0;  // it may forget ends up to this number
   base::Micros wait{};            // for an end, before it answers
   bool renews = true;             // grants a lease anew
@@ -82,14 +82,14 @@
 struct MoveBox {
   std::string box;
   std::string pool;
-  jobs::WorkerLife life;  // there when it was decided; empty: none
+  jobs::WorkerIncarnation life;  // there when it was decided; empty: none
   BoxEvidence evidence;
 };
 
 struct UpkeepBox {
   std::string box;
   int wave = 0;
-  jobs::WorkerLife life;  // as above
+  jobs::WorkerIncarnation life;  // as above
   BoxEvidence evidence;
 };
 
@@ -120,7 +120,7 @@
 
 // For the log: what ran on a worker is over without ends of its own.
 struct WorkerLost {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   std::string box;
   LossSign sign = LossSign::kSilence;
   base::Micros heard_ago{};   // its last answer; negative: none
@@ -129,7 +129,7 @@
 
 // For the log: a worker has started again under its id.
 struct WorkerRestarted {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   std::int64_t earlier_born_ms = 0;
   std::int64_t ends_read = 0;  // the highest number read from the earlier life
   int moved_runs = 0;          // that the next life may have begun
@@ -138,7 +138,7 @@
 // For the log: an end was passed over for its number, of a run that the owner
 // still counts on.
 struct EndSkipped {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   ListedEnd end;
   std::int64_t ends_read = 0;  // the highest number read before
 };
--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -157,7 +157,7 @@
   step.each.cpu_millis = 4000;
   two.bench.AddJob("cancelled", step);
   const StartRun start = two.bench.NextStart();
-  const jobs::WorkerLife silent = start.worker;
+  const jobs::WorkerIncarnation silent = start.worker;
   BOOST_REQUIRE((silent.id == "x" || silent.id == "y"));
   two.bench.scheduler.Started(start, OrderOutcome::kDone, two.bench.now);
   two.bench.scheduler.CancelJob("cancelled", two.bench.now);
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -99,7 +99,7 @@
 
 void Scheduler::NoteLoss(Job& job,
                          const TaskPlace& place,
-                         const jobs::WorkerLife& life,
+                         const jobs::WorkerIncarnation& life,
                          const jobs::WorkerLoss& loss,
                          base::Micros now) {
   if (job.finished() || TaskAt(job, place).state == TaskState::kDone)
@@ -168,7 +168,7 @@
 
 // The worker answers: it has not crashed, and earlier lives on its box have.
 void Scheduler::SettleLosses(const Worker& worker, base::Micros now) {
-  const jobs::WorkerLife& life = worker.info.life;
+  const jobs::WorkerIncarnation& life = worker.info.life;
   for (const std::string& id : this->open_losses.Take(life)) {
     Job* job = this->FindJob(id);
     if (!job)
@@ -178,7 +178,7 @@
     std::erase_if(job->progress.losses,
                   [](const auto& entry) { return entry.second.empty(); });
   }
-  for (const jobs::WorkerLife& other :
+  for (const jobs::WorkerIncarnation& other :
        this->open_losses.OthersOn(worker.info.box, life)) {
     for (const std::string& id : this->open_losses.Take(other)) {
       Job* job = this->FindJob(id);
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -35,7 +35,7 @@
 // How many workers on which a task failed are remembered.
 constexpr std::size_t kFailedOn = 4;
 
-void RememberFailure(Task& task, const jobs::WorkerLife& worker) {
+void RememberFailure(Task& task, const jobs::WorkerIncarnation& worker) {
   task.failed_on.push_back(worker);
   if (task.failed_on.size() > kFailedOn)
     task.failed_on.erase(task.failed_on.begin());
@@ -79,7 +79,7 @@
 }
 
 void Scheduler::TakeFate(Job& job,
-                         const jobs::WorkerLife& worker,
+                         const jobs::WorkerIncarnation& worker,
                          const ListedEnd& end,
                          base::Micros now) {
   const TaskPlace place = PlaceOf(end.task);
@@ -142,7 +142,7 @@
 void Scheduler::TaskFailed(Job& job,
                            const TaskPlace& place,
                            int run,
-                           const jobs::WorkerLife& worker,
+                           const jobs::WorkerIncarnation& worker,
                            base::Micros now) {
   const jobs::Step& step = StepOf(job, place);
   Task& task = TaskAt(job, place);
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -205,7 +205,7 @@
 
 // All that ran on the box is over once the platform has taken it.
 void Scheduler::BoxTaken(const std::string& box, base::Micros now) {
-  const jobs::WorkerLife life = this->fleet.LifeBefore(box);
+  const jobs::WorkerIncarnation life = this->fleet.LifeBefore(box);
   if (!life.empty())
     this->LifeIsOver(life, LossSign::kBoxTaken, now);
 }
--- a/scheduler/facts.h
+++ b/scheduler/facts.h
@@ -11,13 +11,13 @@
 #include "base/clock.h"
 #include "base/enum_names.h"
 #include "jobs/job.h"
-#include "jobs/worker_life.h"
+#include "jobs/worker_incarnation.h"
 
 namespace quartzhoist::scheduler {
 
 // One life of a worker's process, as it announces itself.
 struct WorkerInfo {
-  jobs::WorkerLife life;
+  jobs::WorkerIncarnation life;
   std::string box;
   std::string service;
   std::string address;  // ip:port
@@ -89,8 +89,8 @@
 
 // A worker's account of itself.
 struct Listing {
-  jobs::WorkerLife life;      // that answered
-  std::int64_t clock_ms = 0;  // the worker's own clock
+  jobs::WorkerIncarnation life;  // that answered
+  std::int64_t clock_ms = 0;     // the worker's own clock
   std::vector<ListedRun> running;
   std::vector<ListedEnd> ended;
 };
@@ -124,7 +124,7 @@
 
 // Which workers may run a step, each with the ticket that proves it.
 struct Advice {
-  std::map<jobs::WorkerLife, std::string> tickets;
+  std::map<jobs::WorkerIncarnation, std::string> tickets;
   base::Micros valid{};  // from when it was asked
 };
 
--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -60,7 +60,7 @@
 // A worker that crashed may have started again just before its box was taken:
 // that life announces itself while the box is away.
 void Fleet::BoxSeen(const std::string& box,
-                    const jobs::WorkerLife& worker,
+                    const jobs::WorkerIncarnation& worker,
                     const std::string& pool,
                     base::Micros now) {
   for (auto& [number, progress] : this->waves) {
@@ -71,12 +71,12 @@
     const bool can_be_back =
         now >= upkeep.first_call + LeastTimeAway(this->limits.upkeep_time);
     if (upkeep.state == UpkeepState::kDown && can_be_back &&
-        jobs::IsOtherLife(upkeep.worker_before, worker))
+        jobs::IsDifferentIncarnation(upkeep.worker_before, worker))
       upkeep.state = UpkeepState::kDone;
   }
   const auto move = this->moves.find(box);
   if (move == this->moves.end() ||
-      !jobs::IsOtherLife(move->second.worker_before, worker))
+      !jobs::IsDifferentIncarnation(move->second.worker_before, worker))
     return;
   const bool can_be_back =
       pool == move->second.pool &&
@@ -355,7 +355,7 @@
          this->InUpkeep(box);
 }
 
-jobs::WorkerLife Fleet::LifeBefore(const std::string& box) const {
+jobs::WorkerIncarnation Fleet::LifeBefore(const std::string& box) const {
   const auto move = this->moves.find(box);
   if (move != this->moves.end())
     return move->second.worker_before;
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -48,11 +48,11 @@
 struct FleetBox {
   std::string name;
   std::string pool;
-  jobs::WorkerLife worker;  // that announces itself; empty: none
-  bool up = false;          // it may be moved or taken down
-  bool idle = false;        // nothing runs on it
-  int lasting = 0;          // lasting tasks on it
-  double cores = 0.0;       // of its capacity
+  jobs::WorkerIncarnation worker;  // that announces itself; empty: none
+  bool up = false;                 // it may be moved or taken down
+  bool idle = false;               // nothing runs on it
+  int lasting = 0;                 // lasting tasks on it
+  double cores = 0.0;              // of its capacity
   double busy_cores = 0.0;
 };
 
@@ -128,7 +128,7 @@
   void Inherit(const UpkeepBox& call, base::Micros now);
   // A life of the box announces itself, in this pool.
   void BoxSeen(const std::string& box,
-               const jobs::WorkerLife& worker,
+               const jobs::WorkerIncarnation& worker,
                const std::string& pool,
                base::Micros now);
   // A worker on the box has answered this owner.
@@ -149,7 +149,7 @@
   // Nothing further is to be placed on the box.
   bool IsLeaving(const std::string& box) const;
   // The life that was on the box when its move or upkeep was asked for.
-  jobs::WorkerLife LifeBefore(const std::string& box) const;
+  jobs::WorkerIncarnation LifeBefore(const std::string& box) const;
   bool HasOpenWave() const;
   // Some box is away, so that the platform's list of boxes matters now.
   bool WantsBoxes() const;
@@ -164,7 +164,7 @@
   };
   struct Upkeep {
     UpkeepState state = UpkeepState::kPending;
-    jobs::WorkerLife worker_before;  // that was there
+    jobs::WorkerIncarnation worker_before;  // that was there
     base::Micros since{};
     base::Micros first_call{};  // it has not begun before
     base::Micros next_call{};
@@ -181,7 +181,7 @@
   };
   struct Move {
     std::string pool;
-    jobs::WorkerLife worker_before;
+    jobs::WorkerIncarnation worker_before;
     base::Micros since{};
     base::Micros first_call{};  // it has not begun before
     base::Micros next_call{};
--- a/scheduler/job.h
+++ b/scheduler/job.h
@@ -53,9 +53,9 @@
 
 struct Task {
   TaskState state = TaskState::kBlocked;
-  jobs::WorkerLife worker;  // while placed
-  int run = 0;              // while placed: the run's number
-  int newest_run = 0;       // the highest number ever given
+  jobs::WorkerIncarnation worker;  // while placed
+  int run = 0;                     // while placed: the run's number
+  int newest_run = 0;              // the highest number ever given
   int inherited_run = 0;   // the newest of earlier owners that is accounted for
   bool at_work = false;    // lasting: has been seen at full work
   std::string checkpoint;  // newest seen; empty: none
@@ -65,13 +65,13 @@
   base::Micros lease_ended{};
   WaitReason waits_for = WaitReason::kRoom;  // while ready
   base::Micros newest_loss{};  // when a worker's was last noted under it
-  std::vector<jobs::WorkerLife> failed_on;  // newest last
+  std::vector<jobs::WorkerIncarnation> failed_on;  // newest last
   int moved = 0;  // times it was taken off a stalled or slow worker
 };
 
 // What is known of the workers that may run a step.
 struct StepAdvice {
-  std::map<jobs::WorkerLife, std::string> tickets;
+  std::map<jobs::WorkerIncarnation, std::string> tickets;
   base::Micros until{};  // they hold
   base::Micros asked{};  // when it was last asked for
   bool in_flight = false;
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-void Scheduler::Listed(const jobs::WorkerLife& asked,
+void Scheduler::Listed(const jobs::WorkerIncarnation& asked,
                        const Listing& listing,
                        base::Micros now) {
   Worker* answered = this->LifeThatAnswered(asked, listing.life, now);
@@ -257,7 +257,7 @@
 
 // What a call's outcome says of the worker and of this ownership. The worker,
 // or null if it is not known or its life is over.
-Worker* Scheduler::TakeOutcome(const jobs::WorkerLife& life,
+Worker* Scheduler::TakeOutcome(const jobs::WorkerIncarnation& life,
                                OrderOutcome outcome,
                                base::Micros now) {
   Worker* found = this->FindLife(life);
@@ -272,7 +272,7 @@
   return found;
 }
 
-void Scheduler::LookFailed(const jobs::WorkerLife& life,
+void Scheduler::LookFailed(const jobs::WorkerIncarnation& life,
                            OrderOutcome outcome,
                            base::Micros now) {
   Worker* found = this->TakeOutcome(life, outcome, now);
@@ -459,7 +459,7 @@
 
 // Nothing runs beyond a lease: what is on a silent worker is over then.
 void Scheduler::ExpireLeases(base::Micros now) {
-  std::vector<jobs::WorkerLife> forgotten;
+  std::vector<jobs::WorkerIncarnation> forgotten;
   for (auto& [id, worker] : this->workers) {
     const bool over = now > worker.lease_end + kLeaseSlack;
     if (!over)
@@ -481,7 +481,7 @@
     if (!worker.announced && worker.failed_calls >= kCallsUntilSilent)
       forgotten.push_back(id);
   }
-  for (const jobs::WorkerLife& id : forgotten)
+  for (const jobs::WorkerIncarnation& id : forgotten)
     this->workers.erase(id);
   this->worker_change_count += forgotten.size();
 }
--- a/scheduler/looks.cc
+++ b/scheduler/looks.cc
@@ -73,12 +73,13 @@
 
 }  // namespace
 
-void Scheduler::Granted(const jobs::WorkerLife& life, base::Micros end) {
+void Scheduler::Granted(const jobs::WorkerIncarnation& life, base::Micros end) {
   if (Worker* worker = this->FindLife(life))
     worker->lease_end = std::max(worker->lease_end, end);
 }
 
-void Scheduler::LookGrants(const jobs::WorkerLife& life, base::Micros end) {
+void Scheduler::LookGrants(const jobs::WorkerIncarnation& life,
+                           base::Micros end) {
   this->Granted(life, end);
   if (Worker* worker = this->FindLife(life))
     worker->look_grant = end;
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -58,7 +58,8 @@
           .gpus = step.each.gpus * step.tasks};
 }
 
-std::string TicketFor(const StepRuns& runs, const jobs::WorkerLife& worker) {
+std::string TicketFor(const StepRuns& runs,
+                      const jobs::WorkerIncarnation& worker) {
   const auto found = runs.advice.tickets.find(worker);
   return found == runs.advice.tickets.end() ? std::string() : found->second;
 }
@@ -82,7 +83,7 @@
  public:
   StepSpread(const jobs::Step& step,
              const StepRuns& runs,
-             const std::map<jobs::WorkerLife, Worker>& workers) {
+             const std::map<jobs::WorkerIncarnation, Worker>& workers) {
     if (!step.lasting && step.most_per_worker == 0)
       return;
     for (const Task& task : runs.tasks) {
@@ -110,7 +111,7 @@
     return found == counts.end() ? 0 : found->second;
   }
 
-  std::map<jobs::WorkerLife, int> on_worker;
+  std::map<jobs::WorkerIncarnation, int> on_worker;
   std::map<std::string, int> on_rack;
 };
 
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -40,8 +40,9 @@
   }
 }
 
-void Scheduler::WorkersRecorded(const std::vector<jobs::WorkerLife>& lives) {
-  for (const jobs::WorkerLife& life : lives) {
+void Scheduler::WorkersRecorded(
+    const std::vector<jobs::WorkerIncarnation>& lives) {
+  for (const jobs::WorkerIncarnation& life : lives) {
     if (Worker* worker = this->FindLife(life))
       worker->recorded = true;
   }
@@ -416,7 +417,7 @@
                   this->confirmed + this->limits.grant_bound);
 }
 
-std::int64_t Scheduler::Deadline(const jobs::WorkerLife& worker,
+std::int64_t Scheduler::Deadline(const jobs::WorkerIncarnation& worker,
                                  base::Micros end) const {
   const Worker* known = this->FindWorker(worker);
   return known ? DeadlineFor(*known, end) : 0;
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -79,7 +79,7 @@
   // it has been listed and recorded anew, this owner grants it none.
   void InheritWorker(const WorkerInfo& info, base::Micros lease_end);
   // The stored list names these as held by this owner.
-  void WorkersRecorded(const std::vector<jobs::WorkerLife>& lives);
+  void WorkersRecorded(const std::vector<jobs::WorkerIncarnation>& lives);
   // This shard's share of an organisation's quota, in thousandths.
   void SetQuotaShare(const std::string& organisation, int share) {
     this->quotas.SetShare(organisation, share);
@@ -97,10 +97,10 @@
 
   // --- What came of actions ---
   // `asked` is the life that was meant; another may have answered.
-  void Listed(const jobs::WorkerLife& asked,
+  void Listed(const jobs::WorkerIncarnation& asked,
               const Listing& listing,
               base::Micros now);
-  void LookFailed(const jobs::WorkerLife& worker,
+  void LookFailed(const jobs::WorkerIncarnation& worker,
                   OrderOutcome outcome,
                   base::Micros now);
   // `clock_ms` is the worker's clock, as its answer gave it; 0: not known.
@@ -114,10 +114,10 @@
                const std::optional<Advice>& advice,
                base::Micros now);
   // An order that grants a lease until `end` is about to be sent.
-  void Granted(const jobs::WorkerLife& worker, base::Micros end);
+  void Granted(const jobs::WorkerIncarnation& worker, base::Micros end);
   void LookSent(const LookAt& order, base::Micros now);
   // The look that is sent now grants a lease until `end`.
-  void LookGrants(const jobs::WorkerLife& worker, base::Micros end);
+  void LookGrants(const jobs::WorkerIncarnation& worker, base::Micros end);
 
   // --- Boxes ---
   // What an earlier owner recorded before it called; told before anything else.
@@ -144,11 +144,12 @@
   // When a lease granted now is to end, on our clock.
   base::Micros LeaseEnd(base::Micros now) const;
   // A worker's deadline for a lease until `end`, on the worker's clock.
-  std::int64_t Deadline(const jobs::WorkerLife& worker, base::Micros end) const;
-  const Worker* FindWorker(const jobs::WorkerLife& life) const;
+  std::int64_t Deadline(const jobs::WorkerIncarnation& worker,
+                        base::Micros end) const;
+  const Worker* FindWorker(const jobs::WorkerIncarnation& life) const;
   // The life that is known under the id.
   const Worker* FindWorker(const std::string& id) const;
-  const std::map<jobs::WorkerLife, Worker>& all_workers() const {
+  const std::map<jobs::WorkerIncarnation, Worker>& all_workers() const {
     return this->workers;
   }
   const std::unordered_map<std::string, Job>& all_jobs() const {
@@ -208,14 +209,14 @@
   // ends
   void TakeEnd(Worker& worker, const ListedEnd& end, base::Micros now);
   void TakeFate(Job& job,
-                const jobs::WorkerLife& worker,
+                const jobs::WorkerIncarnation& worker,
                 const ListedEnd& end,
                 base::Micros now);
   void TaskDone(Job& job, const TaskPlace& place, base::Micros now);
   void TaskFailed(Job& job,
                   const TaskPlace& place,
                   int run,
-                  const jobs::WorkerLife& worker,
+                  const jobs::WorkerIncarnation& worker,
                   base::Micros now);
   // The run is over and did not finish the task: it is to be placed again.
   void TaskLost(const jobs::TaskId& id, int run, base::Micros now);
@@ -238,7 +239,7 @@
       LossSign sign);
   void NoteLoss(Job& job,
                 const TaskPlace& place,
-                const jobs::WorkerLife& life,
+                const jobs::WorkerIncarnation& life,
                 const jobs::WorkerLoss& loss,
                 base::Micros now);
   void NoteUnseenLoss(Job& job,
@@ -263,19 +264,19 @@
 
   // what workers tell of jobs that are not known yet
   struct UnknownJob {
-    std::vector<std::pair<jobs::WorkerLife, ListedEnd>> ends;
-    std::vector<std::pair<jobs::WorkerLife, jobs::TaskId>> runs;
+    std::vector<std::pair<jobs::WorkerIncarnation, ListedEnd>> ends;
+    std::vector<std::pair<jobs::WorkerIncarnation, jobs::TaskId>> runs;
   };
   UnknownJob& Unknown(const std::string& job);
   void HoldEnd(Worker& worker, const ListedEnd& end);
   void HoldRun(Worker& worker, const ListedRun& listed, base::Micros now);
   void MeetJob(Job& job, base::Micros now);
-  void ReleaseEnd(const jobs::WorkerLife& worker,
+  void ReleaseEnd(const jobs::WorkerIncarnation& worker,
                   const ListedEnd& end,
                   std::uint64_t change);
 
   // listings
-  Worker* TakeOutcome(const jobs::WorkerLife& life,
+  Worker* TakeOutcome(const jobs::WorkerIncarnation& life,
                       OrderOutcome outcome,
                       base::Micros now);
   void TakeRunning(Worker& worker, const ListedRun& listed, base::Micros now);
@@ -291,13 +292,13 @@
   void Acknowledge(Worker& worker);
 
   // lives of workers
-  Worker* FindLife(const jobs::WorkerLife& life);
+  Worker* FindLife(const jobs::WorkerIncarnation& life);
   Worker* CurrentLife(const std::string& id);
   // This life, or a later one that may have what was meant for it.
-  Worker* HolderOf(const jobs::WorkerLife& life);
-  bool IsKnownToBeOver(const jobs::WorkerLife& life) const;
-  Worker* LifeThatAnswered(const jobs::WorkerLife& asked,
-                           const jobs::WorkerLife& answered,
+  Worker* HolderOf(const jobs::WorkerIncarnation& life);
+  bool IsKnownToBeOver(const jobs::WorkerIncarnation& life) const;
+  Worker* LifeThatAnswered(const jobs::WorkerIncarnation& asked,
+                           const jobs::WorkerIncarnation& answered,
                            base::Micros now);
   Worker& Restarted(Worker& earlier, const WorkerInfo& info, base::Micros now);
   void MoveRun(Worker& next,
@@ -305,11 +306,11 @@
                Run run,
                const std::optional<PossibleLoss>& loss);
   // This life is over: nothing of it runs.
-  void WorkerDied(const jobs::WorkerLife& life,
+  void WorkerDied(const jobs::WorkerIncarnation& life,
                   LossSign sign,
                   base::Micros now);
   // The same for good: its announcement may still stand, and be read again.
-  void LifeIsOver(const jobs::WorkerLife& life,
+  void LifeIsOver(const jobs::WorkerIncarnation& life,
                   LossSign sign,
                   base::Micros now);
   void LoseRuns(const Worker& worker,
@@ -385,7 +386,7 @@
 
   Limits limits;
   jobs::Config config;
-  std::map<jobs::WorkerLife, Worker> workers;  // one life of each id
+  std::map<jobs::WorkerIncarnation, Worker> workers;  // one life of each id
   // The latest start of a life that is over, by id, until its announcement is
   // gone.
   std::map<std::string, std::int64_t> ended_lives;
--- a/scheduler/suspects.cc
+++ b/scheduler/suspects.cc
@@ -63,7 +63,7 @@
   return count >= kLossesUntilProbe ? Suspicion::kProbe : Suspicion::kSlight;
 }
 
-void OpenLosses::Add(const jobs::WorkerLife& life,
+void OpenLosses::Add(const jobs::WorkerIncarnation& life,
                      const std::string& box,
                      const std::string& job) {
   Life& entry = this->lives[life];
@@ -72,7 +72,7 @@
   this->by_box[box].insert(life);
 }
 
-std::set<std::string> OpenLosses::Take(const jobs::WorkerLife& life) {
+std::set<std::string> OpenLosses::Take(const jobs::WorkerIncarnation& life) {
   const auto found = this->lives.find(life);
   if (found == this->lives.end())
     return {};
@@ -85,14 +85,14 @@
   return taken.jobs;
 }
 
-std::vector<jobs::WorkerLife> OpenLosses::OthersOn(
+std::vector<jobs::WorkerIncarnation> OpenLosses::OthersOn(
     const std::string& box,
-    const jobs::WorkerLife& life) const {
+    const jobs::WorkerIncarnation& life) const {
   const auto found = this->by_box.find(box);
   if (found == this->by_box.end())
     return {};
-  std::vector<jobs::WorkerLife> others;
-  for (const jobs::WorkerLife& lost : found->second) {
+  std::vector<jobs::WorkerIncarnation> others;
+  for (const jobs::WorkerIncarnation& lost : found->second) {
     if (lost != life)
       others.push_back(lost);
   }
--- a/scheduler/suspects.h
+++ b/scheduler/suspects.h
@@ -46,14 +46,15 @@
 // its box.
 class OpenLosses {
  public:
-  void Add(const jobs::WorkerLife& life,
+  void Add(const jobs::WorkerIncarnation& life,
            const std::string& box,
            const std::string& job);
   // Takes what is open of this life out; the jobs concerned.
-  std::set<std::string> Take(const jobs::WorkerLife& life);
+  std::set<std::string> Take(const jobs::WorkerIncarnation& life);
   // Other lives than this one that were lost on the box.
-  std::vector<jobs::WorkerLife> OthersOn(const std::string& box,
-                                         const jobs::WorkerLife& life) const;
+  std::vector<jobs::WorkerIncarnation> OthersOn(
+      const std::string& box,
+      const jobs::WorkerIncarnation& life) const;
   std::size_t size() const { return this->lives.size(); }
 
  private:
@@ -61,8 +62,8 @@
     std::string box;
     std::set<std::string> jobs;
   };
-  std::map<jobs::WorkerLife, Life> lives;
-  std::map<std::string, std::set<jobs::WorkerLife>> by_box;
+  std::map<jobs::WorkerIncarnation, Life> lives;
+  std::map<std::string, std::set<jobs::WorkerIncarnation>> by_box;
 };
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -17,7 +17,7 @@
 using testing::Only;
 using Bench = testing::SchedulerBench;
 
-jobs::WorkerLife Life(const char* id) {
+jobs::WorkerIncarnation Life(const char* id) {
   return {.id = id};
 }
 
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -89,7 +89,7 @@
 }
 
 // The end may be acknowledged once this change of its job is saved.
-void Scheduler::ReleaseEnd(const jobs::WorkerLife& id,
+void Scheduler::ReleaseEnd(const jobs::WorkerIncarnation& id,
                            const ListedEnd& end,
                            std::uint64_t change) {
   const auto worker = this->workers.find(id);
--- a/scheduler/worker.h
+++ b/scheduler/worker.h
@@ -28,7 +28,7 @@
 
 // A worker's life that was lost under a run, unless the next one has begun it.
 struct PossibleLoss {
-  jobs::WorkerLife life;
+  jobs::WorkerIncarnation life;
   jobs::WorkerLoss loss;
 };
 
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -14,12 +14,12 @@
 
 // --- Which life ---
 
-Worker* Scheduler::FindLife(const jobs::WorkerLife& life) {
+Worker* Scheduler::FindLife(const jobs::WorkerIncarnation& life) {
   const auto found = this->workers.find(life);
   return found == this->workers.end() ? nullptr : &found->second;
 }
 
-const Worker* Scheduler::FindWorker(const jobs::WorkerLife& life) const {
+const Worker* Scheduler::FindWorker(const jobs::WorkerIncarnation& life) const {
   const auto found = this->workers.find(life);
   return found == this->workers.end() ? nullptr : &found->second;
 }
@@ -36,16 +36,16 @@
   return is_it ? &found->second : nullptr;
 }
 
-Worker* Scheduler::HolderOf(const jobs::WorkerLife& life) {
+Worker* Scheduler::HolderOf(const jobs::WorkerIncarnation& life) {
   Worker* current = this->CurrentLife(life.id);
   const bool holds = current && (current->info.life == life ||
                                  current->info.life.IsAfter(life));
   return holds ? current : nullptr;
 }
 
-bool Scheduler::IsKnownToBeOver(const jobs::WorkerLife& life) const {
+bool Scheduler::IsKnownToBeOver(const jobs::WorkerIncarnation& life) const {
   const auto ended = this->ended_lives.find(life.id);
-  return ended != this->ended_lives.end() && life.born_ms <= ended->second;
+  return ended != this->ended_lives.end() && life.start_ms <= ended->second;
 }
 
 // --- Lives that come ---
@@ -54,7 +54,7 @@
   WorkerInfo info = announced;
   Worker* known = this->CurrentLife(info.life.id);
   // One without a start is of the life that is there.
-  if (known && info.life.born_ms == 0)
+  if (known && info.life.start_ms == 0)
     info.life = known->info.life;
   const bool is_earlier = known && known->info.life.IsAfter(info.life);
   if (is_earlier || this->IsKnownToBeOver(info.life))
@@ -87,11 +87,11 @@
 }
 
 // The life whose answer it is; null if that says nothing of one that is known.
-Worker* Scheduler::LifeThatAnswered(const jobs::WorkerLife& asked,
-                                    const jobs::WorkerLife& answered,
+Worker* Scheduler::LifeThatAnswered(const jobs::WorkerIncarnation& asked,
+                                    const jobs::WorkerIncarnation& answered,
                                     base::Micros now) {
   Worker* worker = this->FindLife(asked);
-  if (!worker || answered == asked || answered.born_ms == 0)
+  if (!worker || answered == asked || answered.start_ms == 0)
     return worker;
   if (asked.IsAfter(answered)) {
     worker->look_in_flight = false;
@@ -109,7 +109,7 @@
 Worker& Scheduler::Restarted(Worker& earlier,
                              const WorkerInfo& info,
                              base::Micros now) {
-  const jobs::WorkerLife over = earlier.info.life;
+  const jobs::WorkerIncarnation over = earlier.info.life;
   std::map<jobs::TaskId, Run> runs = TakeRuns(earlier);
   const auto losses = this->LossesUnder(earlier, runs, LossSign::kRestarted);
   // 1. The next life, under the same lease as far as that is known.
@@ -120,7 +120,7 @@
   next.next_look = now;
   // 2. What it may have begun.
   WorkerRestarted restarted{.worker = info.life,
-                            .earlier_born_ms = over.born_ms,
+                            .earlier_born_ms = over.start_ms,
                             .ends_read = earlier.processed};
   for (auto it = runs.begin(); it != runs.end();) {
     const bool may_be_there =
@@ -194,7 +194,7 @@
     this->WorkerDied(worker->info.life, LossSign::kLeft, now);
 }
 
-void Scheduler::WorkerDied(const jobs::WorkerLife& life,
+void Scheduler::WorkerDied(const jobs::WorkerIncarnation& life,
                            LossSign sign,
                            base::Micros now) {
   const auto found = this->workers.find(life);
@@ -207,12 +207,12 @@
 
 // A store that has forgotten its history is read anew, rows of ended lives
 // included: such a life on a box in upkeep would pass for the one after it.
-void Scheduler::LifeIsOver(const jobs::WorkerLife& life,
+void Scheduler::LifeIsOver(const jobs::WorkerIncarnation& life,
                            LossSign sign,
                            base::Micros now) {
-  const jobs::WorkerLife over = life;
+  const jobs::WorkerIncarnation over = life;
   std::int64_t& latest = this->ended_lives[over.id];
-  latest = std::max(latest, over.born_ms);
+  latest = std::max(latest, over.start_ms);
   this->WorkerDied(over, sign, now);
 }
 
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -101,14 +101,14 @@
 BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
-  first.life.born_ms = kFirstBorn;
+  first.life.start_ms = kFirstBorn;
   bench.scheduler.PutWorker(first, bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn}});
+  bench.List("w", {.life = {.id = "w", .start_ms = kFirstBorn}});
   bench.AddJob("before");
   const scheduler::StartRun before = bench.NextStart();
   bench.scheduler.Granted(bench.LifeOf("w"), bench.now + milliseconds(2500));
   bench.scheduler.Started(before, scheduler::OrderOutcome::kDone, bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn},
+  bench.List("w", {.life = {.id = "w", .start_ms = kFirstBorn},
                    .ended = {{.number = 5,
                               .task = before.task,
                               .run = before.run,
@@ -117,9 +117,9 @@
   bench.Turn();
   // It starts again, numbers its ends from 1 and hears no older number.
   scheduler::WorkerInfo next = Bench::Worker("w");
-  next.life.born_ms = kNextBorn;
+  next.life.start_ms = kNextBorn;
   bench.scheduler.PutWorker(next, bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn}});
+  bench.List("w", {.life = {.id = "w", .start_ms = kNextBorn}});
   bench.AddJob("after");
   const scheduler::StartRun after = bench.NextStart();
   BOOST_REQUIRE(after.task == FirstTask("after"));
@@ -127,7 +127,7 @@
   bench.scheduler.Started(after, scheduler::OrderOutcome::kDone, bench.now);
   for (const LookAt& look : Only<LookAt>(bench.Turn()))
     BOOST_TEST(look.acknowledged == 0);
-  bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn},
+  bench.List("w", {.life = {.id = "w", .start_ms = kNextBorn},
                    .ended = {{.number = 1,
                               .task = after.task,
                               .run = after.run,
@@ -143,7 +143,7 @@
 BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.born_ms = kFirstBorn;
+  info.life.start_ms = kFirstBorn;
   bench.scheduler.PutWorker(info, bench.now);
   bench.List("w", {});
   bench.AddJob("first");
@@ -175,7 +175,7 @@
 BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.born_ms = kFirstBorn;
+  info.life.start_ms = kFirstBorn;
   bench.scheduler.PutWorker(info, bench.now);
   bench.List("w", {});
   bench.AddJob("job");
@@ -189,7 +189,7 @@
     bench.List("w", {});
   }
   BOOST_REQUIRE(!bench.scheduler.FindWorker("w")->runs.contains(start.task));
-  info.life.born_ms = kNextBorn;
+  info.life.start_ms = kNextBorn;
   bench.scheduler.PutWorker(info, bench.now);
   const auto stops = Only<scheduler::StopRun>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(stops.size() == 1U);
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -86,7 +86,7 @@
   void List(const std::string& worker,
             scheduler::Listing listing,
             base::Micros grant = {}) {
-    const jobs::WorkerLife asked = this->LifeOf(worker);
+    const jobs::WorkerIncarnation asked = this->LifeOf(worker);
     if (listing.life.empty())
       listing.life = asked;
     this->scheduler.LookSent({.worker = asked}, this->now);
@@ -99,9 +99,9 @@
   }
 
   // The life that is known under the id.
-  jobs::WorkerLife LifeOf(const std::string& id) const {
+  jobs::WorkerIncarnation LifeOf(const std::string& id) const {
     const scheduler::Worker* known = this->scheduler.FindWorker(id);
-    return known ? known->info.life : jobs::WorkerLife{.id = id};
+    return known ? known->info.life : jobs::WorkerIncarnation{.id = id};
   }
 
   // The store confirms the ownership; nobody else takes over for 1.15 s.
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -82,7 +82,7 @@
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
           "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
-          jobs::TextOf(id), worker.listed, worker.failed_calls,
+          jobs::FormatWorkerIncarnation(id), worker.listed, worker.failed_calls,
           worker.look_in_flight, base::Seconds(worker.lease_end));
       for (const auto& [task, run] : worker.runs) {
         text +=
@@ -116,7 +116,7 @@
 
 scheduler::WorkerInfo SchedulerModel::InfoOf(const Worker& worker) const {
   const auto box = this->boxes.find(worker.box);
-  return {.life = {.id = worker.id, .born_ms = worker.born_ms},
+  return {.life = {.id = worker.id, .start_ms = worker.born_ms},
           .box = worker.box,
           .service = box == this->boxes.end() ? "pool" : box->second.pool,
           .address = worker.id,
@@ -148,7 +148,7 @@
 // A worker is in the stored list, as held by this owner, before it is granted a
 // lease.
 void SchedulerModel::RecordListed(Owner& owner) {
-  std::vector<jobs::WorkerLife> held;
+  std::vector<jobs::WorkerIncarnation> held;
   for (const auto& [life, worker] : owner.scheduler->all_workers()) {
     if (!worker.listed || worker.recorded)
       continue;
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -259,7 +259,7 @@
   // The stored list of workers that may hold a lease: until when, if the owner
   // has not listed them.
   struct Lease {
-    jobs::WorkerLife life;
+    jobs::WorkerIncarnation life;
     std::optional<base::Micros> until;
   };
   std::map<std::string, Lease> leases;
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -256,7 +256,7 @@
 
 scheduler::Listing SchedulerModel::ListingOf(const Worker& worker) const {
   scheduler::Listing listing;
-  listing.life = {.id = worker.id, .born_ms = worker.born_ms};
+  listing.life = {.id = worker.id, .start_ms = worker.born_ms};
   listing.clock_ms = base::Millis(this->ClockOf(worker));
   for (const auto& [task, run] : worker.running) {
     if (run.stopping)
