--- a/entry/decision_log.cc
+++ b/entry/decision_log.cc
@@ -36,7 +36,7 @@
     text += fmt::format("{}{} run {} {}{}", text.empty() ? "" : ", ",
                         jobs::FormatWorkerIncarnation(life), loss.run,
                         loss.has_crashed ? "crashed" : "silent",
-                        loss.was_alone ? " alone" : "");
+                        loss.was_sole_suspect ? " alone" : "");
   }
   return text;
 }
--- a/jobs/jobs_test.cc
+++ b/jobs/jobs_test.cc
@@ -76,7 +76,7 @@
   progress.MarkFailed(task, 1);
   progress.MarkFailed(task, 1);
   progress.MarkFailed(task, 2);
-  BOOST_TEST(progress.FailuresOf(task) == 2);
+  BOOST_TEST(progress.FailureCount(task) == 2);
 }
 
 BOOST_AUTO_TEST_CASE(FailedRunThatIsToldAfterALaterOneCounts) {
@@ -84,7 +84,7 @@
   const TaskKey task{.step = {.occurrence = 0, .step = 0}, .index = 3};
   progress.MarkFailed(task, 1002);
   progress.MarkFailed(task, 1001);
-  BOOST_TEST(progress.FailuresOf(task) == 2);
+  BOOST_TEST(progress.FailureCount(task) == 2);
 }
 
 BOOST_AUTO_TEST_CASE(FailedRunsOfTwoWritersAddUp) {
@@ -95,7 +95,7 @@
   Progress later;
   later.MarkFailed(task, 1001);
   later.MarkFailed(task, 1003);
-  BOOST_TEST(Merge(later, earlier).FailuresOf(task) == 3);
+  BOOST_TEST(Merge(later, earlier).FailureCount(task) == 3);
 }
 
 BOOST_AUTO_TEST_CASE(LossesOfTwoWritersAddUpAndACrashStaysOne) {
@@ -107,11 +107,11 @@
   Progress later;
   later.MarkLost(task, {.id = "a"}, {.run = 1, .box = "box-a"});
   later.MarkLost(task, {.id = "b"},
-                 {.run = 2, .box = "box-b", .was_alone = true});
+                 {.run = 2, .box = "box-b", .was_sole_suspect = true});
   later.MarkLost(task, {.id = "c"}, {.run = 1001, .box = "box-c"});
   const WorkerLosses both{
       {{.id = "a"}, {.run = 1, .box = "box-a", .has_crashed = true}},
-      {{.id = "b"}, {.run = 2, .box = "box-b", .was_alone = true}},
+      {{.id = "b"}, {.run = 2, .box = "box-b", .was_sole_suspect = true}},
       {{.id = "c"}, {.run = 1001, .box = "box-c"}}};
   BOOST_CHECK(Merge(later, earlier).losses.at(task) == both);
   BOOST_CHECK(Merge(earlier, later).losses.at(task) == both);
@@ -122,7 +122,7 @@
   Progress progress;
   progress.MarkLost(
       task, {.id = "a"},
-      {.run = 1, .box = "box", .has_crashed = true, .was_alone = true});
+      {.run = 1, .box = "box", .has_crashed = true, .was_sole_suspect = true});
   progress.last_tries[task] = {3, 1001};
   Progress kept = DecodeProgress(EncodeProgress(progress)).value();
   BOOST_CHECK(kept.losses == progress.losses);
--- a/jobs/progress.cc
+++ b/jobs/progress.cc
@@ -16,7 +16,7 @@
 constexpr char kNotDone = '.';
 constexpr char kDone = '#';
 
-std::string BitsText(const std::vector<bool>& bits) {
+std::string EncodeBits(const std::vector<bool>& bits) {
   std::string text;
   text.reserve(bits.size());
   for (const bool bit : bits)
@@ -24,7 +24,7 @@
   return text;
 }
 
-std::vector<bool> BitsOf(const std::string& text) {
+std::vector<bool> DecodeBits(const std::string& text) {
   std::vector<bool> bits;
   bits.reserve(text.size());
   for (const char c : text)
@@ -50,23 +50,23 @@
   return numbers;
 }
 
-bool ReadDone(const Json& row, Progress& progress) {
+bool DecodeDone(const Json& row, Progress& progress) {
   for (const auto& [key, bits] : row.items()) {
     const auto numbers = ParseNumbers(key);
     if (!numbers || numbers->size() != 2 || !bits.is_string())
       return false;
     const StepKey step{.occurrence = (*numbers)[0], .step = (*numbers)[1]};
-    progress.done[step] = BitsOf(bits.get<std::string>());
+    progress.done[step] = DecodeBits(bits.get<std::string>());
   }
   return true;
 }
 
-std::string TaskText(const TaskKey& task) {
+std::string FormatTaskKey(const TaskKey& task) {
   return fmt::format("{}.{}.{}", task.step.occurrence, task.step.step,
                      task.index);
 }
 
-std::optional<TaskKey> ParseTask(std::string_view text) {
+std::optional<TaskKey> ParseTaskKey(std::string_view text) {
   const auto numbers = ParseNumbers(text);
   if (!numbers || numbers->size() != 3)
     return std::nullopt;
@@ -74,9 +74,9 @@
                  .index = (*numbers)[2]};
 }
 
-bool ReadRuns(const Json& row, std::map<TaskKey, RunNumbers>& into) {
+bool DecodeRuns(const Json& row, std::map<TaskKey, RunNumbers>& into) {
   for (const auto& [key, runs] : row.items()) {
-    const auto task = ParseTask(key);
+    const auto task = ParseTaskKey(key);
     if (!task || !runs.is_array() || runs.empty())
       return false;
     for (const Json& run : runs) {
@@ -88,14 +88,14 @@
   return true;
 }
 
-Json PlacementRow(const Placement& placement) {
+Json EncodePlacement(const Placement& placement) {
   return {placement.worker.id, placement.run, placement.worker.start_ms};
 }
 
 // [worker, run, start of the worker's life]; earlier rows have no start.
-bool ReadPlacements(const Json& row, std::map<TaskKey, Placement>& into) {
+bool DecodePlacements(const Json& row, std::map<TaskKey, Placement>& into) {
   for (const auto& [key, placement] : row.items()) {
-    const auto task = ParseTask(key);
+    const auto task = ParseTaskKey(key);
     const bool is_list = placement.is_array() && placement.size() >= 2;
     const bool has_start = is_list && placement.size() == 3;
     const bool fits = is_list && placement.size() <= 3 &&
@@ -114,19 +114,19 @@
 }
 
 // The marks of a loss: a letter for each that is set.
-struct LossMark {
+struct LossFlag {
   char letter;
   bool WorkerLoss::*is_set;
 };
-constexpr std::array<LossMark, 3> kLossMarks{{
+constexpr std::array<LossFlag, 3> kLossFlags{{
     {'c', &WorkerLoss::has_crashed},
-    {'a', &WorkerLoss::was_alone},
-    {'s', &WorkerLoss::was_seen},
+    {'a', &WorkerLoss::was_sole_suspect},
+    {'s', &WorkerLoss::start_confirmed},
 }};
 
-std::string MarksText(const WorkerLoss& loss) {
+std::string EncodeLossFlags(const WorkerLoss& loss) {
   std::string text;
-  for (const LossMark& mark : kLossMarks) {
+  for (const LossFlag& mark : kLossFlags) {
     if (loss.*mark.is_set)
       text += mark.letter;
   }
@@ -134,9 +134,9 @@
 }
 
 // [run, box, marks] by life.
-bool ReadLosses(const Json& row, Progress& progress) {
+bool DecodeLosses(const Json& row, Progress& progress) {
   for (const auto& [key, lives] : row.items()) {
-    const auto task = ParseTask(key);
+    const auto task = ParseTaskKey(key);
     if (!task || !lives.is_object())
       return false;
     for (const auto& [life, entry] : lives.items()) {
@@ -148,7 +148,7 @@
       WorkerLoss loss{.run = entry[0].get<int>(),
                       .box = entry[1].get<std::string>()};
       const auto marks = entry[2].get<std::string>();
-      for (const LossMark& mark : kLossMarks)
+      for (const LossFlag& mark : kLossFlags)
         loss.*mark.is_set = marks.find(mark.letter) != std::string::npos;
       progress.MarkLost(*task, ParseWorkerIncarnation(life), loss);
     }
@@ -205,11 +205,11 @@
     known.run = loss.run;
     known.box = loss.box;
   }
-  for (const LossMark& mark : kLossMarks)
+  for (const LossFlag& mark : kLossFlags)
     known.*mark.is_set = known.*mark.is_set || loss.*mark.is_set;
 }
 
-int Progress::FailuresOf(const TaskKey& task) const {
+int Progress::FailureCount(const TaskKey& task) const {
   const auto found = this->failures.find(task);
   return found == this->failures.end() ? 0
                                        : static_cast<int>(found->second.size());
@@ -219,21 +219,21 @@
   Json row = {{"state", base::NameOf(kJobStateNames, progress.state)}};
   for (const auto& [step, bits] : progress.done) {
     row["done"][fmt::format("{}.{}", step.occurrence, step.step)] =
-        BitsText(bits);
+        EncodeBits(bits);
   }
   for (const auto& [task, runs] : progress.failures)
-    row["failed_runs"][TaskText(task)] = runs;
+    row["failed_runs"][FormatTaskKey(task)] = runs;
   for (const auto& [task, placement] : progress.placed)
-    row["placed"][TaskText(task)] = PlacementRow(placement);
+    row["placed"][FormatTaskKey(task)] = EncodePlacement(placement);
   for (const auto& [task, placement] : progress.stopping)
-    row["stopping"][TaskText(task)] = PlacementRow(placement);
+    row["stopping"][FormatTaskKey(task)] = EncodePlacement(placement);
   for (const auto& [task, runs] : progress.last_tries)
-    row["last_tries"][TaskText(task)] = runs;
+    row["last_tries"][FormatTaskKey(task)] = runs;
   for (const auto& [task, lives] : progress.losses) {
-    Json& row_of_task = row["lost"][TaskText(task)];
+    Json& row_of_task = row["lost"][FormatTaskKey(task)];
     for (const auto& [life, loss] : lives)
       row_of_task[FormatWorkerIncarnation(life)] = {loss.run, loss.box,
-                                                    MarksText(loss)};
+                                                    EncodeLossFlags(loss)};
   }
   return row.dump();
 }
@@ -248,20 +248,21 @@
     return std::nullopt;
   Progress progress;
   progress.state = *state;
-  if (row.contains("done") && !ReadDone(row["done"], progress))
+  if (row.contains("done") && !DecodeDone(row["done"], progress))
     return std::nullopt;
   if (row.contains("failed_runs") &&
-      !ReadRuns(row["failed_runs"], progress.failures))
+      !DecodeRuns(row["failed_runs"], progress.failures))
     return std::nullopt;
-  if (row.contains("placed") && !ReadPlacements(row["placed"], progress.placed))
+  if (row.contains("placed") &&
+      !DecodePlacements(row["placed"], progress.placed))
     return std::nullopt;
   if (row.contains("stopping") &&
-      !ReadPlacements(row["stopping"], progress.stopping))
+      !DecodePlacements(row["stopping"], progress.stopping))
     return std::nullopt;
   if (row.contains("last_tries") &&
-      !ReadRuns(row["last_tries"], progress.last_tries))
+      !DecodeRuns(row["last_tries"], progress.last_tries))
     return std::nullopt;
-  if (row.contains("lost") && !ReadLosses(row["lost"], progress))
+  if (row.contains("lost") && !DecodeLosses(row["lost"], progress))
     return std::nullopt;
   return progress;
 }
--- a/jobs/progress.h
+++ b/jobs/progress.h
@@ -59,10 +59,10 @@
 // there.
 struct WorkerLoss {
   int run = 0;
-  std::string box;           // empty: not known
-  bool has_crashed = false;  // else it is silent, and may answer again
-  bool was_alone = false;    // nothing else there was suspected of a crash
-  bool was_seen = false;     // the worker had said that it started the run
+  std::string box;                // empty: not known
+  bool has_crashed = false;       // else it is silent, and may answer again
+  bool was_sole_suspect = false;  // nothing else there was suspected of a crash
+  bool start_confirmed = false;   // the worker had said that it started the run
 
   bool operator==(const WorkerLoss&) const = default;
 };
@@ -93,7 +93,7 @@
                 const WorkerIncarnation& life,
                 const WorkerLoss& loss);
   // How many of its runs have failed.
-  int FailuresOf(const TaskKey& task) const;
+  int FailureCount(const TaskKey& task) const;
 };
 
 std::string EncodeProgress(const Progress& progress);
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -91,8 +91,8 @@
     losses[id] = {.run = run.number,
                   .box = worker.info.box,
                   .has_crashed = has_crashed,
-                  .was_alone = was_alone,
-                  .was_seen = WasSeen(*job, PlaceOf(id), worker, run)};
+                  .was_sole_suspect = was_alone,
+                  .start_confirmed = WasSeen(*job, PlaceOf(id), worker, run)};
   }
   return losses;
 }
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -155,7 +155,7 @@
   if (job.finished())
     return;
   this->Changed(job);
-  const int count = job.progress.FailuresOf(key);
+  const int count = job.progress.FailureCount(key);
   this->actions.emplace_back(
       Note{job.id, fmt::format("task {}.{}.{} run {} failed on {}, {} of {}",
                                place.occurrence, place.step, place.index, run,
--- a/scheduler/job.cc
+++ b/scheduler/job.cc
@@ -162,7 +162,7 @@
                      [&](const auto& entry) {
                        const jobs::TaskKey& task = entry.first;
                        return !progress.IsDone(task.step, task.index) &&
-                              progress.FailuresOf(task) >= job.queue.attempts;
+                              progress.FailureCount(task) >= job.queue.attempts;
                      });
 }
 
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -28,8 +28,8 @@
                       {.run = i,
                        .box = "b" + std::to_string(i),
                        .has_crashed = true,
-                       .was_alone = true,
-                       .was_seen = true});
+                       .was_sole_suspect = true,
+                       .start_confirmed = true});
   }
   progress.last_tries[task] = {4, 5};
   return progress;
--- a/scheduler/suspects.cc
+++ b/scheduler/suspects.cc
@@ -42,9 +42,9 @@
     if (!loss.has_crashed)
       continue;
     ++crashes;
-    seen += loss.was_seen;
+    seen += loss.start_confirmed;
     boxes.insert(loss.box);
-    was_alone = was_alone || loss.was_alone;
+    was_alone = was_alone || loss.was_sole_suspect;
   }
   // Crashes on one box alone may be the box's; a start that was not answered
   // may never have begun there.
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -22,7 +22,7 @@
 }
 
 jobs::WorkerLoss Crash(int run, const std::string& box) {
-  return {.run = run, .box = box, .has_crashed = true, .was_seen = true};
+  return {.run = run, .box = box, .has_crashed = true, .start_confirmed = true};
 }
 
 // A pool's only worker is at work, so that a task that is to start alone waits.
@@ -62,7 +62,7 @@
   BOOST_CHECK(Judge(two, {}, seconds(9)) == Suspicion::kProbe);
   // A third one of which it is not known yet whether it was a crash.
   jobs::WorkerLosses three = two;
-  three[Life("c")] = {.run = 3, .box = "z", .was_alone = true};
+  three[Life("c")] = {.run = 3, .box = "z", .was_sole_suspect = true};
   BOOST_CHECK(Judge(three, {}, seconds(1)) == Suspicion::kHeld);
   BOOST_CHECK(Judge(three, {}, seconds(9)) == Suspicion::kProbe);
   BOOST_CHECK(Judge(three, {4}, seconds(9)) == Suspicion::kProbe);
@@ -70,13 +70,13 @@
   three[Life("c")].has_crashed = true;
   BOOST_CHECK(Judge(three, {}, seconds(1)) == Suspicion::kCause);
   // In company it tells no more than the other two.
-  three[Life("c")].was_alone = false;
+  three[Life("c")].was_sole_suspect = false;
   BOOST_CHECK(Judge(three, {}, seconds(9)) == Suspicion::kProbe);
   // Always on the same box.
   jobs::WorkerLosses one_box{{Life("a"), Crash(1, "x")},
                              {Life("b"), Crash(2, "x")},
                              {Life("c"), Crash(3, "x")}};
-  one_box[Life("c")].was_alone = true;
+  one_box[Life("c")].was_sole_suspect = true;
   BOOST_CHECK(Judge(one_box, {}, seconds(9)) == Suspicion::kProbe);
 }
 
