--- a/bench/bench_main.cc
+++ b/bench/bench_main.cc
@@ -38,10 +38,11 @@
     for (int step = 0; step < 1 + i % 2; ++step) {
       jobs::Step one;
       one.tasks = 1 + i % 4;
-      one.each = {.cpu_millis = 500 + 250 * (i % 5), .memory_mb = 500};
+      one.task_resources = {.cpu_millis = 500 + 250 * (i % 5),
+                            .memory_mb = 500};
       one.estimate_ms = 1000;
       if (step > 0)
-        one.after = {step - 1};
+        one.depends_on = {step - 1};
       job.spec.steps.push_back(one);
     }
     jobs.push_back(job);
--- a/entry/caller_rights.cc
+++ b/entry/caller_rights.cc
@@ -40,9 +40,11 @@
   return std::any_of(
       spec.steps.begin(), spec.steps.end(), [&quota](const jobs::Step& step) {
         return step.gang &&
-               (IsAbove(step.each.cpu_millis, step.tasks, quota.cpu_millis) ||
-                IsAbove(step.each.memory_mb, step.tasks, quota.memory_mb) ||
-                IsAbove(step.each.gpus, step.tasks, quota.gpus));
+               (IsAbove(step.task_resources.cpu_millis, step.tasks,
+                        quota.cpu_millis) ||
+                IsAbove(step.task_resources.memory_mb, step.tasks,
+                        quota.memory_mb) ||
+                IsAbove(step.task_resources.gpus, step.tasks, quota.gpus));
       });
 }
 
--- a/entry/shard_choice.cc
+++ b/entry/shard_choice.cc
@@ -20,7 +20,7 @@
 
 bool IsLasting(const jobs::JobSpec& job) {
   return std::any_of(job.steps.begin(), job.steps.end(),
-                     [](const jobs::Step& step) { return step.lasting; });
+                     [](const jobs::Step& step) { return step.long_running; });
 }
 
 // Nothing while the shard's owner has not spoken of the pool.
@@ -95,11 +95,12 @@
   const jobs::Resources& quota = organisation.quota;
   const bool is_too_large = std::any_of(
       job.steps.begin(), job.steps.end(), [&](const jobs::Step& step) {
-        return IsTooLarge(step.each.cpu_millis, step.tasks, quota.cpu_millis,
-                          shards) ||
-               IsTooLarge(step.each.memory_mb, step.tasks, quota.memory_mb,
-                          shards) ||
-               IsTooLarge(step.each.gpus, step.tasks, quota.gpus, shards);
+        return IsTooLarge(step.task_resources.cpu_millis, step.tasks,
+                          quota.cpu_millis, shards) ||
+               IsTooLarge(step.task_resources.memory_mb, step.tasks,
+                          quota.memory_mb, shards) ||
+               IsTooLarge(step.task_resources.gpus, step.tasks, quota.gpus,
+                          shards);
       });
   // A job that asks for a kind of box goes where there is one.
   const bool asks_for_kind =
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -36,7 +36,7 @@
   jobs::JobSpec job;
   job.steps.resize(1);
   job.steps[0].tasks = 8;
-  job.steps[0].each.cpu_millis = 1500;
+  job.steps[0].task_resources.cpu_millis = 1500;
   const auto home = [&job](std::int64_t cores, int shards) {
     return HomeShard({.name = "bees",
                       .keys = {},
@@ -128,7 +128,7 @@
 jobs::JobSpec JobOf(bool lasting) {
   jobs::JobSpec job;
   jobs::Step step;
-  step.lasting = lasting;
+  step.long_running = lasting;
   job.steps.push_back(step);
   return job;
 }
--- a/jobs/job.h
+++ b/jobs/job.h
@@ -27,32 +27,32 @@
 
 struct Step {
   std::int64_t tasks = 1;
-  Resources each;
+  Resources task_resources;
   std::int64_t estimate_ms = 0;  // the caller's guess of one task's run time
-  std::vector<int> after;        // steps whose tasks must all be done first
+  std::vector<int> depends_on;   // steps whose tasks must all be done first
   bool checkpoints = false;      // progress is saved and can be resumed
   bool gang = false;             // the tasks work only together
-  bool one_rack = false;         // a gang is slower over several racks
-  bool copies_allowed = false;   // two runs of one task may overlap
-  bool lasting = false;          // runs until the job is cancelled
-  bool fills = false;            // takes only processor time left by others
-  std::string label;             // the worker must have it; empty: any worker
-  std::string rack;              // the data lies there; slower elsewhere
-  std::int64_t most_per_worker = 0;  // tasks of the step; 0: no limit
+  bool rack_local = false;       // a gang is slower over several racks
+  bool allows_speculative_runs = false;  // two runs of one task may overlap
+  bool long_running = false;             // runs until the job is cancelled
+  bool fills = false;  // takes only processor time left by others
+  std::string label;   // the worker must have it; empty: any worker
+  std::string rack;    // the data lies there; slower elsewhere
+  std::int64_t max_per_worker = 0;   // tasks of the step; 0: no limit
   std::string image;                 // what the tasks run
-  std::int64_t may_be_away = 0;      // lasting: tasks we may interrupt at once
+  std::int64_t max_unavailable = 0;  // lasting: tasks we may interrupt at once
   std::int64_t target_ms = 0;        // lasting: bound of the users' tail time
 };
 
 struct JobSpec {
   std::string text;  // handed to the tasks as it came
   std::vector<Step> steps;
-  std::int64_t repeats = 0;      // 0: runs once, at once
-  std::int64_t first_at_ms = 0;  // since 1970; the first repeat's time
-  std::int64_t every_ms = 0;     // between two repeats
+  std::int64_t repeat_count = 0;  // 0: runs once, at once
+  std::int64_t start_at_ms = 0;   // since 1970; the first repeat's time
+  std::int64_t interval_ms = 0;   // between two repeats
 
   std::int64_t occurrences() const {
-    return this->repeats > 0 ? this->repeats : 1;
+    return this->repeat_count > 0 ? this->repeat_count : 1;
   }
 };
 
--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -39,9 +39,9 @@
     this->Come("b");
     jobs::Step step = Bench::OneLastingTask();
     step.tasks = 2;
-    step.each.cpu_millis = 2500;
-    step.most_per_worker = 1;
-    step.may_be_away = 1;
+    step.task_resources.cpu_millis = 2500;
+    step.max_per_worker = 1;
+    step.max_unavailable = 1;
     this->bench.AddJob("job", step);
     for (int i = 0; i < 8 && this->starts.size() < 2; ++i) {
       const std::vector<Action> actions = this->bench.Turn();
@@ -154,7 +154,7 @@
 BOOST_AUTO_TEST_CASE(BoxThatIsNotHeardSinceItsLeaseIsNotMoved) {
   TwoLastingTasks two;
   jobs::Step step = Bench::OneTask();
-  step.each.cpu_millis = 4000;
+  step.task_resources.cpu_millis = 4000;
   two.bench.AddJob("cancelled", step);
   const StartRun start = two.bench.NextStart();
   const jobs::WorkerIncarnation silent = start.worker;
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -50,7 +50,7 @@
 
 bool HasLastingStep(const Job& job) {
   return std::any_of(job.spec.steps.begin(), job.spec.steps.end(),
-                     [](const jobs::Step& step) { return step.lasting; });
+                     [](const jobs::Step& step) { return step.long_running; });
 }
 
 TaskPlace PlaceOfKey(const jobs::TaskKey& key) {
@@ -225,7 +225,7 @@
   return Judge(found->second,
                tries == job.progress.last_tries.end() ? jobs::RunNumbers()
                                                       : tries->second,
-               now - task.newest_loss, StepOf(job, place).lasting);
+               now - task.newest_loss, StepOf(job, place).long_running);
 }
 
 // The members of a gang start together.
--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -19,7 +19,7 @@
 ModelJob MakeJob(const std::string& id, int tasks) {
   jobs::Step step;
   step.tasks = tasks;
-  step.each = {.cpu_millis = 800, .memory_mb = 100, .gpus = 0};
+  step.task_resources = {.cpu_millis = 800, .memory_mb = 100, .gpus = 0};
   step.estimate_ms = 1000;
   ModelJob job;
   job.id = id;
@@ -82,8 +82,8 @@
 // is not started any more; the others are not stopped for it.
 BOOST_AUTO_TEST_CASE(LastingTasksBesideACrashingOneServeOn) {
   ModelJob lasting = MakeJob("lasting", 4);
-  lasting.spec.steps[0].lasting = true;
-  lasting.spec.steps[0].may_be_away = 1;
+  lasting.spec.steps[0].long_running = true;
+  lasting.spec.steps[0].max_unavailable = 1;
   lasting.crashing = {{.occurrence = 0, .step = 0, .index = 2}};
   SchedulerModel model(1, {}, 6, {lasting});
   model.RunFor(seconds(40));
@@ -109,7 +109,7 @@
       job.crash_after = milliseconds(*rc::gen::element(10, 300, 1500));
       if (i < 2)
         job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
-      job.spec.steps[0].lasting = *rc::gen::inRange(0, 4) == 0;
+      job.spec.steps[0].long_running = *rc::gen::inRange(0, 4) == 0;
       jobs.push_back(job);
     }
     ModelFaults faults;
@@ -138,7 +138,7 @@
       const jobs::Step& step = job.spec.steps[0];
       const auto guilty = static_cast<int>(job.crashing.size());
       const int running = model.RunningTasks(job.id);
-      if (step.lasting) {
+      if (step.long_running) {
         RC_ASSERT(running <= step.tasks - guilty);
         RC_ASSERT(running >=
                   step.tasks - guilty - model.TasksThatMayBeGivenUp(job.id));
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -87,7 +87,7 @@
   Task& task = TaskAt(job, place);
   if (!end.checkpoint.empty())
     task.checkpoint = end.checkpoint;
-  const bool lasting = StepOf(job, place).lasting;
+  const bool lasting = StepOf(job, place).long_running;
   const bool done = end.how == RunEnd::kDone && !lasting;
   const bool failed = end.how == RunEnd::kFailed;
   if (done)
@@ -260,7 +260,8 @@
                            const Run& run,
                            base::Micros now) const {
   const jobs::Step& step = StepOf(job, PlaceOf(id));
-  if (step.lasting || run.adopted || run.percent <= 0 || run.percent >= 100)
+  if (step.long_running || run.adopted || run.percent <= 0 ||
+      run.percent >= 100)
     return false;
   const base::Micros expected = this->run_times.Expect(
       step.image.empty() ? job.queue.name : step.image, base::Micros::zero());
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -68,7 +68,7 @@
       const jobs::Step& step = StepOf(*task.job, task.place);
       if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.place)))
         needs[service][task.priority].now_cores +=
-            static_cast<double>(step.each.cpu_millis) / 1000.0;
+            static_cast<double>(step.task_resources.cpu_millis) / 1000.0;
     }
   }
   for (const jobs::Queue& queue : this->config.queues) {
@@ -96,12 +96,12 @@
     for (const Occurrence& occurrence : job.occurrences) {
       for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
         const jobs::Step& step = job.spec.steps[s];
-        if (!step.lasting)
+        if (!step.long_running)
           continue;
         const std::vector<Task>& all = occurrence.steps[s].tasks;
         const std::int64_t tasks =
             std::count_if(all.begin(), all.end(), CountsAsDemand);
-        const std::int64_t most = step.most_per_worker;
+        const std::int64_t most = step.max_per_worker;
         const std::int64_t boxes = most > 0 ? (tasks + most - 1) / most
                                             : std::min<std::int64_t>(tasks, 1);
         int& known = least[job.queue.service];
@@ -217,7 +217,7 @@
   if (job == this->jobs.end() || !Exists(job->second, PlaceOf(id)))
     return true;
   const jobs::Step& step = StepOf(job->second, PlaceOf(id));
-  if (step.may_be_away <= 0)
+  if (step.max_unavailable <= 0)
     return true;
   std::int64_t away = 0;
   const StepRuns& runs = StepAt(job->second, PlaceOf(id));
@@ -225,7 +225,7 @@
     const bool itself = static_cast<int>(i) == id.index;
     away += !itself && !this->IsSeenAtWork(runs.tasks[i], now);
   }
-  return away < step.may_be_away;
+  return away < step.max_unavailable;
 }
 
 // At work by a recent listing: its worker may have died since an older one.
@@ -243,7 +243,7 @@
     return true;
   const jobs::Resources takes = TakenBy(StepOf(*job, PlaceOf(id)));
   const StepRuns& runs = StepAt(*job, PlaceOf(id));
-  const std::int64_t most = StepOf(*job, PlaceOf(id)).most_per_worker;
+  const std::int64_t most = StepOf(*job, PlaceOf(id)).max_per_worker;
   return std::any_of(
       this->workers.begin(), this->workers.end(), [&](const auto& entry) {
         const Worker& worker = entry.second;
--- a/scheduler/job.cc
+++ b/scheduler/job.cc
@@ -30,7 +30,7 @@
 }
 
 bool MayStart(const jobs::Step& step, const Occurrence& occurrence) {
-  for (const int before : step.after) {
+  for (const int before : step.depends_on) {
     if (!IsStepDone(occurrence.steps[static_cast<std::size_t>(before)]))
       return false;
   }
@@ -56,8 +56,9 @@
   const std::int64_t count = job.spec.occurrences();
   for (std::int64_t k = 0; k < count; ++k) {
     Occurrence occurrence;
-    if (job.spec.repeats > 0) {
-      const std::int64_t at_ms = job.spec.first_at_ms + k * job.spec.every_ms;
+    if (job.spec.repeat_count > 0) {
+      const std::int64_t at_ms =
+          job.spec.start_at_ms + k * job.spec.interval_ms;
       occurrence.due = std::chrono::milliseconds(at_ms) + time_of_day_offset;
     } else {
       occurrence.due = accepted;
@@ -118,7 +119,7 @@
 }
 
 jobs::Resources TakenBy(const jobs::Step& step) {
-  jobs::Resources takes = step.each;
+  jobs::Resources takes = step.task_resources;
   // What fills uses only processor time that is left over.
   if (step.fills)
     takes.cpu_millis = 0;
@@ -131,7 +132,7 @@
     return ready;
   for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
     Occurrence& occurrence = job.occurrences[k];
-    if (job.spec.repeats > 0 && occurrence.due > now)
+    if (job.spec.repeat_count > 0 && occurrence.due > now)
       break;
     for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
       StepRuns& runs = occurrence.steps[s];
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -164,10 +164,10 @@
   const bool known = Exists(*job, PlaceOf(listed.task));
   if (known) {
     const jobs::Step& step = StepOf(*job, PlaceOf(listed.task));
-    run.takes = step.each;
-    run.counts = step.each;
+    run.takes = step.task_resources;
+    run.counts = step.task_resources;
     run.counted = &this->quotas.UseOf(job->organisation);
-    run.lasting = step.lasting;
+    run.lasting = step.long_running;
     run.fills = step.fills;
     run.image = step.image;
     run.target_ms = step.target_ms;
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -17,15 +17,15 @@
 jobs::Step MakeStep(int tasks, std::int64_t cpu) {
   jobs::Step step;
   step.tasks = tasks;
-  step.each = {.cpu_millis = cpu, .memory_mb = 500, .gpus = 0};
+  step.task_resources = {.cpu_millis = cpu, .memory_mb = 500, .gpus = 0};
   step.estimate_ms = 1000;
   return step;
 }
 
 // Small, so that all lasting tasks and any other fit on every two workers.
 void MakeLasting(jobs::Step& step) {
-  step.lasting = true;
-  step.each = {.cpu_millis = 50, .memory_mb = 100, .gpus = 0};
+  step.long_running = true;
+  step.task_resources = {.cpu_millis = 50, .memory_mb = 100, .gpus = 0};
 }
 
 std::vector<ModelJob> DrawJobs(int count) {
@@ -40,7 +40,7 @@
     if (*rc::gen::arbitrary<bool>()) {
       job.spec.steps.push_back(
           MakeStep(*rc::gen::inRange(1, 4), *rc::gen::inRange(500, 2500)));
-      job.spec.steps.back().after = {0};
+      job.spec.steps.back().depends_on = {0};
     } else if (*rc::gen::arbitrary<bool>()) {
       MakeLasting(job.spec.steps.back());
     }
@@ -77,7 +77,7 @@
 }
 
 bool IsLasting(const ModelJob& job) {
-  return job.spec.steps.back().lasting;
+  return job.spec.steps.back().long_running;
 }
 
 }  // namespace
@@ -86,10 +86,10 @@
   std::vector<ModelJob> jobs(2);
   jobs[0].id = "chain";
   jobs[0].spec.steps = {MakeStep(3, 1000), MakeStep(2, 1000)};
-  jobs[0].spec.steps[1].after = {0};
+  jobs[0].spec.steps[1].depends_on = {0};
   jobs[1].id = "lasting";
   jobs[1].spec.steps = {MakeStep(4, 1000)};
-  jobs[1].spec.steps[0].lasting = true;
+  jobs[1].spec.steps[0].long_running = true;
   SchedulerModel model(1, {}, 4, jobs);
   model.RunFor(seconds(15));
   BOOST_TEST(Joined(model.broken()) == "");
@@ -228,8 +228,8 @@
     lasting.id = "lasting";
     lasting.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
     MakeLasting(lasting.spec.steps[0]);
-    lasting.spec.steps[0].most_per_worker = 1;
-    lasting.spec.steps[0].may_be_away = 1;
+    lasting.spec.steps[0].max_per_worker = 1;
+    lasting.spec.steps[0].max_unavailable = 1;
     std::vector<ModelJob> jobs = {lasting};
     for (int i = 0; i < 3; ++i) {
       ModelJob job;
@@ -238,7 +238,7 @@
       job.spec.steps = {MakeStep(*rc::gen::inRange(2, 12), 2000)};
       for (int s = 1; s < 6; ++s) {
         job.spec.steps.push_back(MakeStep(*rc::gen::inRange(1, 12), 2000));
-        job.spec.steps.back().after = {s - 1};
+        job.spec.steps.back().depends_on = {s - 1};
       }
       jobs.push_back(job);
     }
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -52,10 +52,10 @@
 // of a gang are placed together.
 jobs::Resources NeededBy(const jobs::Step& step) {
   if (!step.gang)
-    return step.each;
-  return {.cpu_millis = step.each.cpu_millis * step.tasks,
-          .memory_mb = step.each.memory_mb * step.tasks,
-          .gpus = step.each.gpus * step.tasks};
+    return step.task_resources;
+  return {.cpu_millis = step.task_resources.cpu_millis * step.tasks,
+          .memory_mb = step.task_resources.memory_mb * step.tasks,
+          .gpus = step.task_resources.gpus * step.tasks};
 }
 
 std::string TicketFor(const StepRuns& runs,
@@ -84,7 +84,7 @@
   StepSpread(const jobs::Step& step,
              const StepRuns& runs,
              const std::map<jobs::WorkerIncarnation, Worker>& workers) {
-    if (!step.lasting && step.most_per_worker == 0)
+    if (!step.long_running && step.max_per_worker == 0)
       return;
     for (const Task& task : runs.tasks) {
       if (task.state != TaskState::kPlaced)
@@ -347,8 +347,8 @@
       if (job.queue.advice.required &&
           !runs.advice.tickets.contains(worker->info.life))
         continue;
-      if (step.most_per_worker > 0 &&
-          spread.On(*worker) + share.members >= step.most_per_worker)
+      if (step.max_per_worker > 0 &&
+          spread.On(*worker) + share.members >= step.max_per_worker)
         continue;
       // 2. What speaks against it.
       double cost = CostOf(*worker, now) + CostOfCompany(*worker, suspicion);
@@ -359,15 +359,15 @@
       if (!step.rack.empty() && worker->info.rack != step.rack)
         cost += kOtherRack;
       // A gang is slower over several racks: keep to the first member's.
-      if (step.one_rack && !choices.empty() &&
+      if (step.rack_local && !choices.empty() &&
           choices.front().worker->info.rack != worker->info.rack)
         cost += kOtherRack;
-      if (step.lasting)
+      if (step.long_running)
         cost += kSameStepOnRack * spread.Beside(*worker);
       // What lasts pins its box to the pool: few boxes, which then take other
       // work first, so that the rest can move.
       if (worker->lasting > 0)
-        cost -= step.lasting ? kPinnedForLasting : kPinnedForOthers;
+        cost -= step.long_running ? kPinnedForLasting : kPinnedForOthers;
       if (!best || cost < best_cost) {
         best = worker;
         best_cost = cost;
@@ -392,10 +392,10 @@
                      RunState state) {
   Run run{.number = number, .state = state};
   run.takes = TakenBy(step);
-  run.counts = step.each;
+  run.counts = step.task_resources;
   run.counted = &this->quotas.UseOf(job.organisation);
   run.image = step.image;
-  run.lasting = step.lasting;
+  run.lasting = step.long_running;
   run.fills = step.fills;
   run.target_ms = step.target_ms;
   return run;
--- a/scheduler/pool_state.cc
+++ b/scheduler/pool_state.cc
@@ -71,7 +71,8 @@
         continue;
       const base::Micros waited = now - waiting.ready_since;
       ++state.waiting;
-      state.waiting_cores += static_cast<double>(step.each.cpu_millis) / 1000.0;
+      state.waiting_cores +=
+          static_cast<double>(step.task_resources.cpu_millis) / 1000.0;
       state.oldest = std::max(state.oldest, waited);
       PoolState::Waiting& alike = state.waiting_for[waiting.waits_for];
       ++alike.tasks;
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -74,14 +74,15 @@
     return;
   }
   job.beyond_due = !this->due_shares.Take(job.organisation, now);
-  if (job.spec.repeats > 0)
+  if (job.spec.repeat_count > 0)
     this->timed.insert(job.id);
   double core_seconds = 0.0;
   for (const jobs::Step& step : job.spec.steps) {
-    if (step.lasting || step.fills)
+    if (step.long_running || step.fills)
       continue;
-    core_seconds += static_cast<double>(step.tasks * step.each.cpu_millis) /
-                    1000.0 * base::Seconds(this->ExpectedRun(job, step));
+    core_seconds +=
+        static_cast<double>(step.tasks * step.task_resources.cpu_millis) /
+        1000.0 * base::Seconds(this->ExpectedRun(job, step));
   }
   this->demand.HandedIn(job.queue.name, core_seconds, now);
   this->InheritLosses(job, now);
@@ -134,7 +135,7 @@
     if (s == from)
       return chain;
     longest = std::max(longest, chain);
-    for (const int earlier : step.after) {
+    for (const int earlier : step.depends_on) {
       base::Micros& behind = after[static_cast<std::size_t>(earlier)];
       behind = std::max(behind, chain);
     }
@@ -163,13 +164,13 @@
     return;
   task.ready_since = now;
   task.waits_for = WaitReason::kRoom;
-  const bool repeats = job.spec.repeats > 0;
+  const bool repeats = job.spec.repeat_count > 0;
   const auto k = static_cast<std::size_t>(place.occurrence);
   const base::Micros since = repeats ? job.occurrences[k].due : job.accepted;
   const base::Micros objective = this->ObjectiveOf(job);
   const base::Micros left =
       this->LongestChain(job, static_cast<std::size_t>(place.step));
-  const bool lasting = StepOf(job, place).lasting;
+  const bool lasting = StepOf(job, place).long_running;
   const bool begun = job.begun || place.step > 0;
   this->ready[job.queue.service].Insert(
       {.priority = job.queue.priority,
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -394,7 +394,7 @@
   bench.List("idle", {});
   jobs::Step step = Bench::OneLastingTask();
   step.tasks = 2;
-  step.each = {.cpu_millis = 500, .memory_mb = 3000, .gpus = 0};
+  step.task_resources = {.cpu_millis = 500, .memory_mb = 3000, .gpus = 0};
   bench.AddJob("job", step);
   std::vector<MoveBox> moves;
   for (int i = 0; i < 8 && moves.empty(); ++i) {
@@ -425,7 +425,7 @@
   }
   jobs::Step small = Bench::OneTask();
   small.tasks = 60;
-  small.each = {.cpu_millis = 1000, .memory_mb = 1000, .gpus = 0};
+  small.task_resources = {.cpu_millis = 1000, .memory_mb = 1000, .gpus = 0};
   bench.AddJob("small", small);
   bool is_started = false;
   std::int64_t number = 0;
@@ -433,7 +433,7 @@
   for (int turn = 0; turn < 30 && !is_started; ++turn) {
     if (turn == 10) {
       jobs::Step large = Bench::OneLastingTask();
-      large.each = {.cpu_millis = 500, .memory_mb = 3000, .gpus = 0};
+      large.task_resources = {.cpu_millis = 500, .memory_mb = 3000, .gpus = 0};
       bench.AddJob("large", large);
     }
     const std::vector<Action> actions = bench.Turn();
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -95,7 +95,7 @@
     if (reason == 1)
       step.label = "nowhere";
     if (reason == 2)
-      step.each.memory_mb = 100'000;
+      step.task_resources.memory_mb = 100'000;
     if (reason == 4)
       progress = LostForGood();
     this->AddJobTo(pool, id, step, reason == 0 ? "full" : "", progress,
@@ -159,7 +159,7 @@
   ThreePools fleet;
   jobs::Step step = Bench::OneLastingTask();
   step.tasks = 100;
-  step.most_per_worker = 1;
+  step.max_per_worker = 1;
   fleet.AddJobTo("pool", "wide", step, "full");
   fleet.Play(100);
   BOOST_TEST(fleet.starts == 0);
@@ -208,12 +208,12 @@
   ThreePools fleet;
   jobs::Step many = Bench::OneLastingTask();
   many.tasks = 20;
-  many.each = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
+  many.task_resources = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
   fleet.AddJobTo("pool", "many", many);
   fleet.Play(30);
   BOOST_REQUIRE(fleet.starts == 20);
   jobs::Step large = Bench::OneLastingTask();
-  large.each.memory_mb = 3000;
+  large.task_resources.memory_mb = 3000;
   fleet.AddJobTo("pool", "large", large);
   fleet.Play(20);
   BOOST_TEST(fleet.starts == 21);
@@ -238,10 +238,10 @@
     for (const std::string& pool : pools) {
       jobs::Step step = Bench::OneLastingTask();
       step.tasks = *rc::gen::inRange(1, 26);
-      step.each = {.cpu_millis = *rc::gen::inRange(10, 4000),
-                   .memory_mb = *rc::gen::inRange(10, 4000),
-                   .gpus = 0};
-      step.most_per_worker = *rc::gen::inRange(0, 2);
+      step.task_resources = {.cpu_millis = *rc::gen::inRange(10, 4000),
+                             .memory_mb = *rc::gen::inRange(10, 4000),
+                             .gpus = 0};
+      step.max_per_worker = *rc::gen::inRange(0, 2);
       fleet.AddJobTo(pool, "fits-" + pool, step);
       tasks += static_cast<int>(step.tasks);
     }
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -54,7 +54,7 @@
              {.running = {{.task = FirstTask("first"), .run = 1, .percent = 40},
                           {.task = FirstTask("second"), .run = 1}}});
   jobs::Step large = Bench::OneTask();
-  large.each.cpu_millis = 2500;
+  large.task_resources.cpu_millis = 2500;
   bench.AddJob("first");
   bench.AddJob("next", large);
   for (const SaveProgress& save : Only<SaveProgress>(bench.Turn()))
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -28,7 +28,7 @@
 jobs::Step MakeStep(int tasks, std::int64_t cpu) {
   jobs::Step step;
   step.tasks = tasks;
-  step.each = {.cpu_millis = cpu, .memory_mb = 300, .gpus = 0};
+  step.task_resources = {.cpu_millis = cpu, .memory_mb = 300, .gpus = 0};
   step.estimate_ms = 1000;
   return step;
 }
@@ -45,12 +45,12 @@
         MakeStep(*rc::gen::inRange(1, 6), *rc::gen::inRange(300, 1500)));
     const int kind = *rc::gen::inRange(0, 4);
     if (kind == 0) {
-      job.spec.steps.back().lasting = true;
-      job.spec.steps.back().each = {
+      job.spec.steps.back().long_running = true;
+      job.spec.steps.back().task_resources = {
           .cpu_millis = 50, .memory_mb = 50, .gpus = 0};
     } else if (kind == 1) {
       job.spec.steps.push_back(MakeStep(*rc::gen::inRange(1, 4), 1000));
-      job.spec.steps.back().after = {0};
+      job.spec.steps.back().depends_on = {0};
     }
     jobs.push_back(job);
   }
@@ -65,7 +65,7 @@
 }
 
 bool IsLasting(const ModelJob& job) {
-  return job.spec.steps.back().lasting;
+  return job.spec.steps.back().long_running;
 }
 
 // A drawn day of workers that start again, and a calm time after it.
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -57,14 +57,14 @@
   static jobs::Step OneTask() {
     jobs::Step step;
     step.tasks = 1;
-    step.each = {.cpu_millis = 1000, .memory_mb = 100, .gpus = 0};
+    step.task_resources = {.cpu_millis = 1000, .memory_mb = 100, .gpus = 0};
     step.estimate_ms = 1000;
     return step;
   }
 
   static jobs::Step OneLastingTask() {
     jobs::Step step = OneTask();
-    step.lasting = true;
+    step.long_running = true;
     return step;
   }
 
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -263,7 +263,8 @@
   const bool is_at_work =
       found != this->lasting.end() &&
       found->second.last_at_work + milliseconds(100) > this->now;
-  if (!step.lasting || step.may_be_away <= 0 || stored.cancelled || !is_at_work)
+  if (!step.long_running || step.max_unavailable <= 0 || stored.cancelled ||
+      !is_at_work)
     return;
   std::int64_t away = 0;
   for (const auto& [other, presence] : this->lasting) {
@@ -272,7 +273,7 @@
     away += counts && (presence.is_away_by_order ||
                        this->now - presence.last_at_work >= kNotice);
   }
-  if (away >= step.may_be_away)
+  if (away >= step.max_unavailable)
     this->Broke(fmt::format("{} ends {}.{} while {} of its step are away", by,
                             task.job, task.index, away));
   found->second.is_away_by_order = true;
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -60,7 +60,7 @@
   const bool crashes =
       this->jobs.at(order.task.job)
           .job.crashing.contains(scheduler::PlaceOf(order.task));
-  if (crashes || (step.lasting && !fails))
+  if (crashes || (step.long_running && !fails))
     ends = base::Micros::max();
   worker.running[order.task] = {
       .number = order.run, .ends = ends, .fails = fails};
@@ -177,10 +177,10 @@
   const auto failed = stored.failed.find(place);
   const jobs::Step& step =
       stored.job.spec.steps[static_cast<std::size_t>(place.step)];
-  if (!step.lasting && failed != stored.failed.end() &&
+  if (!step.long_running && failed != stored.failed.end() &&
       failed->second >= stored.job.attempts)
     this->Broke(name + " starts after its last attempt failed");
-  for (const int before : step.after) {
+  for (const int before : step.depends_on) {
     const auto& earlier =
         stored.job.spec.steps[static_cast<std::size_t>(before)];
     for (int i = 0; i < earlier.tasks; ++i) {
@@ -188,11 +188,11 @@
         this->Broke(name + " starts before an earlier step is done");
     }
   }
-  jobs::Resources used = step.each;
+  jobs::Resources used = step.task_resources;
   for (const auto& [task, run] : worker.running) {
     used = used + this->jobs.at(task.job)
                       .job.spec.steps[static_cast<std::size_t>(task.step)]
-                      .each;
+                      .task_resources;
   }
   // A room that has shrunk counts once its owner must have heard of it.
   const bool may_be_news = this->now < worker.capacity_changed + kShrinkCounts;
