--- a/entry/caller_rights.cc
+++ b/entry/caller_rights.cc
@@ -21,10 +21,11 @@
                                     const http::Headers& headers) {
   const std::optional<std::string_view> key = platform::CallerKey(headers);
   const jobs::Organisation* holder =
-      key ? config.HolderOf(jobs::DigestOf(*key)) : nullptr;
+      key ? config.FindOrganisationByKey(jobs::ComputeKeyDigest(*key))
+          : nullptr;
   if (holder)
     return holder->name;
-  const bool needs_none = queue.open || !config.asks_for_keys;
+  const bool needs_none = queue.auth_exempt || !config.requires_api_key;
   return needs_none ? std::optional<std::string>("") : std::nullopt;
 }
 
--- a/entry/caller_submissions.cc
+++ b/entry/caller_submissions.cc
@@ -40,7 +40,7 @@
                        const std::string& organisation,
                        const std::string& job) {
   const http::Request& request = exchange->request();
-  if (request.body.size() > this->config->max_body) {
+  if (request.body.size() > this->config->max_body_bytes) {
     this->Refuse(exchange, kTooLarge, job, "the body is too large");
     return;
   }
--- a/entry/shards_test.cc
+++ b/entry/shards_test.cc
@@ -40,7 +40,7 @@
   const auto home = [&job](std::int64_t cores, int shards) {
     return HomeShard({.name = "bees",
                       .keys = {},
-                      .jobs_a_second = 0,
+                      .jobs_per_second = 0,
                       .quota = {.cpu_millis = cores * 1000}},
                      job, shards);
   };
--- a/jobs/organisation.cc
+++ b/jobs/organisation.cc
@@ -7,7 +7,7 @@
 
 namespace quartzhoist::jobs {
 
-KeyDigest DigestOf(std::string_view key) {
+KeyDigest ComputeKeyDigest(std::string_view key) {
   KeyDigest digest;
   unsigned int length = 0;
   const int made = EVP_Digest(key.data(), key.size(), digest.bytes.data(),
@@ -17,7 +17,7 @@
   return digest;
 }
 
-bool IsSameKey(const KeyDigest& a, const KeyDigest& b) {
+bool DigestsAreEqual(const KeyDigest& a, const KeyDigest& b) {
   return CRYPTO_memcmp(a.bytes.data(), b.bytes.data(), KeyDigest::kBytes) == 0;
 }
 
--- a/jobs/organisation.h
+++ b/jobs/organisation.h
@@ -21,15 +21,15 @@
   std::array<unsigned char, kBytes> bytes{};
 };
 
-KeyDigest DigestOf(std::string_view key);
+KeyDigest ComputeKeyDigest(std::string_view key);
 // In a time that does not depend on where they differ.
-bool IsSameKey(const KeyDigest& a, const KeyDigest& b);
+bool DigestsAreEqual(const KeyDigest& a, const KeyDigest& b);
 
 struct Organisation {
   std::string name;
   std::vector<KeyDigest> keys;
-  double jobs_a_second = 0.0;  // its share when all is full; 0: none is set
-  Resources quota;             // running at once, over all workers; 0: no limit
+  double jobs_per_second = 0.0;  // its share when all is full; 0: none is set
+  Resources quota;  // running at once, over all workers; 0: no limit
 };
 
 }  // namespace quartzhoist::jobs
--- a/jobs/queue.cc
+++ b/jobs/queue.cc
@@ -27,11 +27,11 @@
 }
 
 // Every key is looked at, whichever matches.
-const Organisation* Config::HolderOf(const KeyDigest& key) const {
+const Organisation* Config::FindOrganisationByKey(const KeyDigest& key) const {
   const Organisation* holder = nullptr;
   for (const Organisation& organisation : this->organisations) {
     for (const KeyDigest& held : organisation.keys) {
-      if (IsSameKey(held, key))
+      if (DigestsAreEqual(held, key))
         holder = &organisation;
     }
   }
--- a/scheduler/due_shares.cc
+++ b/scheduler/due_shares.cc
@@ -17,7 +17,7 @@
   for (const jobs::Organisation& organisation : organisations) {
     const auto [entry, is_new] = this->accounts.try_emplace(organisation.name);
     Account& account = entry->second;
-    account.jobs_a_second = organisation.jobs_a_second / this->shard_count;
+    account.jobs_a_second = organisation.jobs_per_second / this->shard_count;
     if (is_new)
       account.left = std::max(1.0, account.jobs_a_second * kBurstSeconds);
   }
--- a/scheduler/due_shares_test.cc
+++ b/scheduler/due_shares_test.cc
@@ -22,7 +22,8 @@
 
 BOOST_AUTO_TEST_CASE(FloodIsDueItsRateAndABurst) {
   DueShares shares(2);
-  shares.SetOrganisations({{.name = "bees", .keys = {}, .jobs_a_second = 20}});
+  shares.SetOrganisations(
+      {{.name = "bees", .keys = {}, .jobs_per_second = 20}});
   // Of 20 jobs a second one of two shards counts 10.
   BOOST_TEST(Due(shares, "bees", 100, seconds(1)) == 20);
   BOOST_TEST(Due(shares, "bees", 100, seconds(1) + milliseconds(500)) == 5);
--- a/scheduler/quotas_test.cc
+++ b/scheduler/quotas_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 jobs::Organisation Bees(const jobs::Resources& quota) {
-  return {.name = "bees", .keys = {}, .jobs_a_second = 0, .quota = quota};
+  return {.name = "bees", .keys = {}, .jobs_per_second = 0, .quota = quota};
 }
 
 constexpr jobs::Resources kTask{.cpu_millis = 1000, .memory_mb = 100};
