--- a/entry/caller_rights.cc
+++ b/entry/caller_rights.cc
@@ -23,10 +23,11 @@
                                               const http::Headers& headers) {
   const std::optional<std::string_view> key = platform::CallerKey(headers);
   const jobs::Organisation* key_owner =
-      key ? config.HolderOf(jobs::DigestOf(*key)) : nullptr;
+      key ? config.FindOrganisationByKey(jobs::ComputeKeyDigest(*key))
+          : nullptr;
   if (key_owner)
     return key_owner->name;
-  const bool key_optional = queue.open || !config.asks_for_keys;
+  const bool key_optional = queue.auth_exempt || !config.requires_api_key;
   return key_optional ? std::optional<std::string>("") : std::nullopt;
 }
 
@@ -42,11 +43,11 @@
   return std::any_of(
       spec.steps.begin(), spec.steps.end(), [&quota](const jobs::Step& step) {
         return step.gang &&
-               (ExceedsLimit(step.each.cpu_millis, step.tasks,
+               (ExceedsLimit(step.task_resources.cpu_millis, step.tasks,
                              quota.cpu_millis) ||
-                ExceedsLimit(step.each.memory_mb, step.tasks,
+                ExceedsLimit(step.task_resources.memory_mb, step.tasks,
                              quota.memory_mb) ||
-                ExceedsLimit(step.each.gpus, step.tasks, quota.gpus));
+                ExceedsLimit(step.task_resources.gpus, step.tasks, quota.gpus));
       });
 }
 
--- a/entry/decision_log.cc
+++ b/entry/decision_log.cc
@@ -34,9 +34,9 @@
   std::string text;
   for (const auto& [life, loss] : losses) {
     text += fmt::format("{}{} run {} {}{}", text.empty() ? "" : ", ",
-                        jobs::TextOf(life), loss.run,
+                        jobs::FormatWorkerIncarnation(life), loss.run,
                         loss.has_crashed ? "crashed" : "silent",
-                        loss.was_alone ? " alone" : "");
+                        loss.was_sole_suspect ? " alone" : "");
   }
   return text;
 }
@@ -65,7 +65,7 @@
   const bool was_heard = lost.last_answer_ago >= base::Micros::zero();
   base::Log(base::Event::kWorkerLost,
             {{"worker", lost.worker.id},
-             {"born_ms", lost.worker.born_ms},
+             {"born_ms", lost.worker.start_ms},
              {"box", lost.box},
              {"sign", base::NameOf(scheduler::kLossReasonNames, lost.reason)},
              {"heard_ms", was_heard ? base::Millis(lost.last_answer_ago) : -1},
@@ -76,7 +76,7 @@
 void LogWorkerRestarted(const scheduler::WorkerRestarted& restarted) {
   base::Log(base::Event::kWorkerRestarted,
             {{"worker", restarted.worker.id},
-             {"born_ms", restarted.worker.born_ms},
+             {"born_ms", restarted.worker.start_ms},
              {"earlier_born_ms", restarted.earlier_born_ms},
              {"ends_read", restarted.last_end_sequence},
              {"moved_runs", restarted.transferred_runs}});
@@ -86,7 +86,7 @@
   const jobs::TaskId& task = ignored.end.task;
   base::Log(base::Event::kEndSkipped,
             {{"worker", ignored.worker.id},
-             {"born_ms", ignored.worker.born_ms},
+             {"born_ms", ignored.worker.start_ms},
              {"number", ignored.end.sequence},
              {"ends_read", ignored.last_end_sequence},
              {"task", fmt::format("{}.{}.{}.{}", task.job, task.occurrence,
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -127,12 +127,12 @@
 }
 
 void ShardManager::SetWave(const scheduler::Wave& wave) {
-  this->waves.Put(wave);
+  this->waves.AddWave(wave);
 }
 
 void ShardManager::OwnershipConfirmed(base::Micros asked) {
   this->confirmed_at = asked;
-  this->save_policy.Confirmed(asked);
+  this->save_policy.OnOwnershipConfirmed(asked);
   this->leases_extended = false;
   this->scheduler.OwnershipConfirmed(asked, this->authority.certain_until());
 }
@@ -178,10 +178,10 @@
     return;
   this->commands_suspended = false;
   base::Log(base::Event::kOrdersResumed, {{"epoch", this->epoch}});
-  std::vector<jobs::WorkerLife> waiting;
+  std::vector<jobs::WorkerIncarnation> waiting;
   for (const auto& [worker, queue] : this->command_queues)
     waiting.push_back(worker);
-  for (const jobs::WorkerLife& worker : waiting)
+  for (const jobs::WorkerIncarnation& worker : waiting)
     this->SendNextCommand(worker);
 }
 
@@ -262,7 +262,7 @@
     this->SavePendingProgress();
     this->RecordWorkers();
     this->WriteWaitingCounts();
-    this->waves.Act(base::MonotonicNow());
+    this->waves.Poll(base::MonotonicNow());
   }
   this->RetryJobReads();
   this->LogPoolStates();
@@ -338,7 +338,7 @@
 }
 
 platform::OrderTo ShardManager::AddresseeOf(
-    const jobs::WorkerLife& worker) const {
+    const jobs::WorkerIncarnation& worker) const {
   const scheduler::Worker* known = this->scheduler.FindWorker(worker);
   return {.worker = worker,
           .address = known ? known->info.address : std::string(),
@@ -346,13 +346,13 @@
 }
 
 void ShardManager::EnqueueCommand(Command command) {
-  const jobs::WorkerLife worker =
+  const jobs::WorkerIncarnation worker =
       std::visit([](const auto& one) { return one.worker; }, command);
   this->command_queues[worker].waiting.push_back(std::move(command));
   this->SendNextCommand(worker);
 }
 
-void ShardManager::SendNextCommand(const jobs::WorkerLife& worker) {
+void ShardManager::SendNextCommand(const jobs::WorkerIncarnation& worker) {
   CommandQueue& queue = this->command_queues[worker];
   if (queue.in_flight || queue.waiting.empty() || !this->MaySendCommands())
     return;
@@ -379,7 +379,7 @@
   }
 }
 
-void ShardManager::CommandAnswered(const jobs::WorkerLife& worker,
+void ShardManager::CommandAnswered(const jobs::WorkerIncarnation& worker,
                                    scheduler::CommandOutcome outcome) {
   const bool is_unresponsive = outcome == scheduler::CommandOutcome::kUnknown;
   CommandQueue& queue = this->command_queues[worker];
@@ -404,7 +404,7 @@
     this->ScheduleCycle();
 }
 
-void ShardManager::Send(const jobs::WorkerLife& worker,
+void ShardManager::Send(const jobs::WorkerIncarnation& worker,
                         const scheduler::StartRun& command) {
   const base::Micros now = base::MonotonicNow();
   const scheduler::Worker* known = this->scheduler.FindWorker(worker);
@@ -443,7 +443,7 @@
       });
 }
 
-void ShardManager::Send(const jobs::WorkerLife& worker,
+void ShardManager::Send(const jobs::WorkerIncarnation& worker,
                         const scheduler::StopRun& command) {
   this->workers.Stop(this->AddresseeOf(worker), command,
                      [this, worker, command,
@@ -456,7 +456,7 @@
                      });
 }
 
-void ShardManager::Send(const jobs::WorkerLife& worker,
+void ShardManager::Send(const jobs::WorkerIncarnation& worker,
                         const scheduler::ThrottleRun& command) {
   this->workers.Pace(
       this->AddresseeOf(worker), command,
@@ -470,7 +470,7 @@
 void ShardManager::SendPoll(const scheduler::PollWorker& command) {
   const base::Micros now = base::MonotonicNow();
   const base::Micros end = this->scheduler.LeaseEnd(now);
-  const jobs::WorkerLife worker = command.worker;
+  const jobs::WorkerIncarnation worker = command.worker;
   const std::int64_t deadline =
       command.renews_lease ? this->scheduler.LeaseDeadline(worker, end) : 0;
   this->scheduler.PollSent(command, now);
--- a/entry/manager.h
+++ b/entry/manager.h
@@ -82,8 +82,8 @@
   // Workers in the stored lease record: those that have reported to this owner,
   // and those inherited from earlier owners.
   struct RecordedWorkers {
-    std::vector<jobs::WorkerLife> held;
-    std::vector<jobs::WorkerLife> inherited;
+    std::vector<jobs::WorkerIncarnation> held;
+    std::vector<jobs::WorkerIncarnation> inherited;
 
     bool operator==(const RecordedWorkers&) const = default;
   };
@@ -115,13 +115,15 @@
   void PerformActions();
   void Perform(scheduler::Action action);
   void EnqueueCommand(Command command);
-  void SendNextCommand(const jobs::WorkerLife& worker);
-  void Send(const jobs::WorkerLife& worker, const scheduler::StartRun& command);
-  void Send(const jobs::WorkerLife& worker, const scheduler::StopRun& command);
-  void Send(const jobs::WorkerLife& worker,
+  void SendNextCommand(const jobs::WorkerIncarnation& worker);
+  void Send(const jobs::WorkerIncarnation& worker,
+            const scheduler::StartRun& command);
+  void Send(const jobs::WorkerIncarnation& worker,
+            const scheduler::StopRun& command);
+  void Send(const jobs::WorkerIncarnation& worker,
             const scheduler::ThrottleRun& command);
   void ReportNotSent(const std::deque<Command>& commands);
-  void CommandAnswered(const jobs::WorkerLife& worker,
+  void CommandAnswered(const jobs::WorkerIncarnation& worker,
                        scheduler::CommandOutcome outcome);
   void SendPoll(const scheduler::PollWorker& command);
   void RequestAdvice(const scheduler::RequestAdvice& request);
@@ -158,7 +160,7 @@
   void ListBoxes(const std::string& page,
                  std::vector<scheduler::BoxInfo> boxes_so_far,
                  base::Micros asked);
-  platform::OrderTo AddresseeOf(const jobs::WorkerLife& worker) const;
+  platform::OrderTo AddresseeOf(const jobs::WorkerIncarnation& worker) const;
   std::optional<scheduler::Job> MakeJob(const std::string& id,
                                         const AcceptedJob& accepted,
                                         jobs::Progress progress,
@@ -200,7 +202,7 @@
   // Jobs whose read got no answer from the store.
   std::set<std::string> jobs_to_reload;
   base::Micros next_job_reload{};
-  std::map<jobs::WorkerLife, CommandQueue> command_queues;
+  std::map<jobs::WorkerIncarnation, CommandQueue> command_queues;
   SaveQueue save_queue;
   int saves_in_flight = 0;
   SavePolicy save_policy;
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -51,7 +51,8 @@
 }  // namespace
 
 void ShardManager::SavePendingProgress() {
-  const bool one_part = this->save_policy.one_part(base::MonotonicNow());
+  const bool one_part =
+      this->save_policy.single_part_only(base::MonotonicNow());
   while (!this->save_queue.empty()) {
     if (!one_part && this->saves_in_flight >= kMaxSavesInFlight)
       return;
@@ -74,20 +75,22 @@
   }
   ++this->saves_in_flight;
   const base::Micros sent = base::MonotonicNow();
-  this->store.Write(
-      write, [this, batch = std::move(batch), sent,
-              alive = this->alive](const platform::WriteResult& result) {
-        if (!*alive)
-          return;
-        --this->saves_in_flight;
-        this->save_queue.Settled(batch);
-        const base::Micros now = base::MonotonicNow();
-        this->save_policy.Answered(result, CountParts(batch), now - sent, now);
-        this->HandleSaveResult(batch, result);
-        // Placements that are now recorded are started without delay.
-        this->PerformActions();
-        this->ScheduleCycle();
-      });
+  this->store.Write(write,
+                    [this, batch = std::move(batch), sent,
+                     alive = this->alive](const platform::WriteResult& result) {
+                      if (!*alive)
+                        return;
+                      --this->saves_in_flight;
+                      this->save_queue.OnWriteFinished(batch);
+                      const base::Micros now = base::MonotonicNow();
+                      this->save_policy.OnWriteFinished(
+                          result, CountParts(batch), now - sent, now);
+                      this->HandleSaveResult(batch, result);
+                      // Placements that are now recorded are started without
+                      // delay.
+                      this->PerformActions();
+                      this->ScheduleCycle();
+                    });
 }
 
 void ShardManager::HandleSaveResult(
@@ -103,7 +106,7 @@
       result.outcome == platform::WriteOutcome::kRefused && batch.size() > 1;
   for (const scheduler::SaveProgress& save : batch) {
     if (is_batch_rejected) {
-      this->save_queue.AddAlone(save);
+      this->save_queue.AddUnbatched(save);
       continue;
     }
     const auto found = rows.find(save.job);
@@ -112,7 +115,7 @@
       this->save_queue.Add(save);
       continue;
     }
-    this->scheduler.ProgressSaved(SaveResultOf(save, result, stored), now);
+    this->scheduler.ProgressSaved(MakeSaveResult(save, result, stored), now);
   }
 }
 
@@ -124,7 +127,7 @@
                                    platform::WriteOutcome outcome,
                                    const platform::Row* stored) const {
   const std::uint64_t version = stored ? stored->version : 0;
-  const bool was_waited_for = this->save_policy.slow();
+  const bool was_waited_for = this->save_policy.is_slow();
   return (outcome == platform::WriteOutcome::kUnknown && was_waited_for) ||
          (outcome == platform::WriteOutcome::kConflict &&
           version == save.version);
@@ -298,7 +301,7 @@
     for (const auto& [task, run] : worker.runs)
       runs.push_back({platform::TaskName(task), run.number, run.percent});
     dump["workers"].push_back({{"id", id.id},
-                               {"born_ms", id.born_ms},
+                               {"born_ms", id.start_ms},
                                {"box", worker.info.box},
                                {"pool", worker.info.service},
                                {"listed", worker.has_listing},
--- a/entry/manager_takeover.cc
+++ b/entry/manager_takeover.cc
@@ -148,7 +148,7 @@
   this->AddStoredWorkers();
   this->scheduler.SetConfig(this->config, base::MonotonicNow());
   this->AddStoredJobs();
-  this->waves.Begin(*this->stored_waves, base::MonotonicNow());
+  this->waves.Load(*this->stored_waves, base::MonotonicNow());
   base::Log(base::Event::kOwnershipReady,
             {{"shard", this->shard.number},
              {"epoch", this->epoch},
--- a/entry/shard_selector.cc
+++ b/entry/shard_selector.cc
@@ -21,7 +21,7 @@
 
 bool IsLasting(const jobs::JobSpec& job) {
   return std::any_of(job.steps.begin(), job.steps.end(),
-                     [](const jobs::Step& step) { return step.lasting; });
+                     [](const jobs::Step& step) { return step.long_running; });
 }
 
 // Returns nothing while the shard's owner has not reported the pool.
@@ -101,12 +101,12 @@
   const jobs::Resources& quota = organisation.quota;
   const bool exceeds_share = std::any_of(
       job.steps.begin(), job.steps.end(), [&](const jobs::Step& step) {
-        return ExceedsQuotaShare(step.each.cpu_millis, step.tasks,
+        return ExceedsQuotaShare(step.task_resources.cpu_millis, step.tasks,
                                  quota.cpu_millis, shards) ||
-               ExceedsQuotaShare(step.each.memory_mb, step.tasks,
+               ExceedsQuotaShare(step.task_resources.memory_mb, step.tasks,
                                  quota.memory_mb, shards) ||
-               ExceedsQuotaShare(step.each.gpus, step.tasks, quota.gpus,
-                                 shards);
+               ExceedsQuotaShare(step.task_resources.gpus, step.tasks,
+                                 quota.gpus, shards);
       });
   // A job that requires a kind of box goes to a shard that has it.
   const bool requires_box_kind =
--- a/jobs/jobs_test.cc
+++ b/jobs/jobs_test.cc
@@ -76,7 +76,7 @@
   progress.MarkFailed(task, 1);
   progress.MarkFailed(task, 1);
   progress.MarkFailed(task, 2);
-  BOOST_TEST(progress.FailuresOf(task) == 2);
+  BOOST_TEST(progress.FailureCount(task) == 2);
 }
 
 BOOST_AUTO_TEST_CASE(FailedRunThatIsToldAfterALaterOneCounts) {
@@ -84,7 +84,7 @@
   const TaskKey task{.step = {.occurrence = 0, .step = 0}, .index = 3};
   progress.MarkFailed(task, 1002);
   progress.MarkFailed(task, 1001);
-  BOOST_TEST(progress.FailuresOf(task) == 2);
+  BOOST_TEST(progress.FailureCount(task) == 2);
 }
 
 BOOST_AUTO_TEST_CASE(FailedRunsOfTwoWritersAddUp) {
@@ -95,7 +95,7 @@
   Progress later;
   later.MarkFailed(task, 1001);
   later.MarkFailed(task, 1003);
-  BOOST_TEST(Merge(later, earlier).FailuresOf(task) == 3);
+  BOOST_TEST(Merge(later, earlier).FailureCount(task) == 3);
 }
 
 BOOST_AUTO_TEST_CASE(LossesOfTwoWritersAddUpAndACrashStaysOne) {
@@ -107,11 +107,11 @@
   Progress later;
   later.MarkLost(task, {.id = "a"}, {.run = 1, .box = "box-a"});
   later.MarkLost(task, {.id = "b"},
-                 {.run = 2, .box = "box-b", .was_alone = true});
+                 {.run = 2, .box = "box-b", .was_sole_suspect = true});
   later.MarkLost(task, {.id = "c"}, {.run = 1001, .box = "box-c"});
   const WorkerLosses both{
       {{.id = "a"}, {.run = 1, .box = "box-a", .has_crashed = true}},
-      {{.id = "b"}, {.run = 2, .box = "box-b", .was_alone = true}},
+      {{.id = "b"}, {.run = 2, .box = "box-b", .was_sole_suspect = true}},
       {{.id = "c"}, {.run = 1001, .box = "box-c"}}};
   BOOST_CHECK(Merge(later, earlier).losses.at(task) == both);
   BOOST_CHECK(Merge(earlier, later).losses.at(task) == both);
@@ -122,7 +122,7 @@
   Progress progress;
   progress.MarkLost(
       task, {.id = "a"},
-      {.run = 1, .box = "box", .has_crashed = true, .was_alone = true});
+      {.run = 1, .box = "box", .has_crashed = true, .was_sole_suspect = true});
   progress.last_tries[task] = {3, 1001};
   Progress kept = DecodeProgress(EncodeProgress(progress)).value();
   BOOST_CHECK(kept.losses == progress.losses);
@@ -176,16 +176,17 @@
 }
 
 BOOST_AUTO_TEST_CASE(LivesOfOneWorkerAreToldApart) {
-  const WorkerLife first{.id = "i-1", .born_ms = 1'700'000'000'000};
-  const WorkerLife next{.id = "i-1", .born_ms = 1'700'000'000'001};
+  const WorkerIncarnation first{.id = "i-1", .start_ms = 1'700'000'000'000};
+  const WorkerIncarnation next{.id = "i-1", .start_ms = 1'700'000'000'001};
   BOOST_TEST(next.IsAfter(first));
   BOOST_TEST(!first.IsAfter(next));
-  BOOST_TEST(IsOtherLife(first, next));
-  BOOST_TEST(!IsOtherLife({.id = "i-1"}, next));
-  BOOST_TEST(IsOtherLife({.id = "i-2"}, next));
-  BOOST_CHECK(ParseWorkerLife(TextOf(next)) == next);
-  BOOST_CHECK(ParseWorkerLife("i-1") == WorkerLife{.id = "i-1"});
-  BOOST_CHECK(ParseWorkerLife("i-1@x") == WorkerLife{.id = "i-1@x"});
+  BOOST_TEST(IsDifferentIncarnation(first, next));
+  BOOST_TEST(!IsDifferentIncarnation({.id = "i-1"}, next));
+  BOOST_TEST(IsDifferentIncarnation({.id = "i-2"}, next));
+  BOOST_CHECK(ParseWorkerIncarnation(FormatWorkerIncarnation(next)) == next);
+  BOOST_CHECK(ParseWorkerIncarnation("i-1") == WorkerIncarnation{.id = "i-1"});
+  BOOST_CHECK(ParseWorkerIncarnation("i-1@x") ==
+              WorkerIncarnation{.id = "i-1@x"});
 }
 
 BOOST_AUTO_TEST_CASE(RowsWithoutStartsOfWorkersAreRead) {
@@ -194,8 +195,8 @@
       R"("stopping":{"0.0.2":["i-2",3]},"lost":{"0.0.1":{"i-3":[2,"b","c"]}}})");
   BOOST_REQUIRE(kept.has_value());
   const TaskKey task{.step = {}, .index = 1};
-  BOOST_CHECK(kept->placed.at(task).worker == WorkerLife{.id = "i-1"});
-  BOOST_CHECK(kept->losses.at(task).contains(WorkerLife{.id = "i-3"}));
+  BOOST_CHECK(kept->placed.at(task).worker == WorkerIncarnation{.id = "i-1"});
+  BOOST_CHECK(kept->losses.at(task).contains(WorkerIncarnation{.id = "i-3"}));
   BOOST_CHECK(DecodeProgress(EncodeProgress(*kept)).value().placed ==
               kept->placed);
 }
--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -17,7 +17,7 @@
 namespace quartzhoist::scheduler {
 
 struct StartRun {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   jobs::TaskId task;
   int run = 0;
   std::string text;        // of the job, passed through
@@ -30,18 +30,18 @@
   std::string job;
   int occurrence = 0;
   int step = 0;
-  std::vector<jobs::WorkerLife> workers;
+  std::vector<jobs::WorkerIncarnation> workers;
 };
 
 struct StopRun {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   jobs::TaskId task;
   int run = 0;
 };
 
 // Limits a task to this percentage of its full speed.
 struct ThrottleRun {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   jobs::TaskId task;
   int run = 0;
   int percent = 100;
@@ -49,7 +49,7 @@
 
 // Requests a worker's status report and optionally renews its lease.
 struct PollWorker {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   std::int64_t acknowledged =
       0;                     // ends up to this sequence number may be discarded
   base::Micros max_wait{};   // time to wait for a run end
@@ -85,14 +85,14 @@
 struct MoveBox {
   std::string box;
   std::string pool;
-  jobs::WorkerLife life;  // on the box at decision time; empty if none
+  jobs::WorkerIncarnation life;  // on the box at decision time; empty if none
   BoxCallContext context;
 };
 
 struct MaintainBox {
   std::string box;
   int wave = 0;
-  jobs::WorkerLife life;  // as above
+  jobs::WorkerIncarnation life;  // as above
   BoxCallContext context;
 };
 
@@ -123,7 +123,7 @@
 
 // Log entry: the runs on a worker are over without reported ends.
 struct WorkerLost {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   std::string box;
   LossReason reason = LossReason::kLeaseExpired;
   base::Micros last_answer_ago{};  // negative if it never answered
@@ -132,7 +132,7 @@
 
 // Log entry: a worker has restarted under the same id.
 struct WorkerRestarted {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   std::int64_t earlier_born_ms = 0;
   std::int64_t last_end_sequence = 0;  // of the earlier incarnation
   int transferred_runs = 0;            // may be active in the new incarnation
@@ -141,7 +141,7 @@
 // Log entry: a reported end was ignored because its sequence number is not
 // above the last one processed, although the owner still tracks its run.
 struct RunEndIgnored {
-  jobs::WorkerLife worker;
+  jobs::WorkerIncarnation worker;
   ReportedEnd end;
   std::int64_t last_end_sequence = 0;  // processed before
 };
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -55,7 +55,7 @@
 
 bool HasLastingStep(const Job& job) {
   return std::any_of(job.spec.steps.begin(), job.spec.steps.end(),
-                     [](const jobs::Step& step) { return step.lasting; });
+                     [](const jobs::Step& step) { return step.long_running; });
 }
 
 TaskPosition PlaceOfKey(const jobs::TaskKey& key) {
@@ -95,18 +95,19 @@
         ran < kStartupCrashWindow &&
         (runs.size() == 1 ||
          (run.suspicion >= Suspicion::kProbe && !has_other_suspects));
-    losses[id] = {.run = run.number,
-                  .box = worker.info.box,
-                  .has_crashed = has_crashed,
-                  .was_alone = was_alone,
-                  .was_seen = WasReported(*job, PositionOf(id), worker, run)};
+    losses[id] = {
+        .run = run.number,
+        .box = worker.info.box,
+        .has_crashed = has_crashed,
+        .was_sole_suspect = was_alone,
+        .start_confirmed = WasReported(*job, PositionOf(id), worker, run)};
   }
   return losses;
 }
 
 void Scheduler::RecordLoss(Job& job,
                            const TaskPosition& place,
-                           const jobs::WorkerLife& life,
+                           const jobs::WorkerIncarnation& life,
                            const jobs::WorkerLoss& loss,
                            base::Micros now) {
   if (job.finished() || TaskAt(job, place).state == TaskState::kDone)
@@ -178,7 +179,7 @@
 // Called when a worker answers. It has not crashed, so its unresolved losses
 // are dropped; those of other lives on the same box are confirmed as crashes.
 void Scheduler::ResolveLosses(const Worker& worker, base::Micros now) {
-  const jobs::WorkerLife& life = worker.info.life;
+  const jobs::WorkerIncarnation& life = worker.info.life;
   for (const std::string& id : this->open_losses.Remove(life)) {
     Job* job = this->FindJob(id);
     if (!job)
@@ -188,7 +189,7 @@
     std::erase_if(job->progress.losses,
                   [](const auto& entry) { return entry.second.empty(); });
   }
-  for (const jobs::WorkerLife& other :
+  for (const jobs::WorkerIncarnation& other :
        this->open_losses.OtherLivesOn(worker.info.box, life)) {
     for (const std::string& id : this->open_losses.Remove(other)) {
       Job* job = this->FindJob(id);
@@ -232,11 +233,11 @@
   const auto index = static_cast<std::size_t>(place.index);
   const Task& task = StepAt(job, place).tasks[index];
   const auto tries = job.progress.last_tries.find(KeyOf(place));
-  return AssessSuspicion(found->second,
-                         tries == job.progress.last_tries.end()
-                             ? jobs::RunNumbers()
-                             : tries->second,
-                         now - task.latest_loss_at, StepOf(job, place).lasting);
+  return AssessSuspicion(
+      found->second,
+      tries == job.progress.last_tries.end() ? jobs::RunNumbers()
+                                             : tries->second,
+      now - task.latest_loss_at, StepOf(job, place).long_running);
 }
 
 // The members of a gang start together, so the highest suspicion applies.
--- a/scheduler/ends.cc
+++ b/scheduler/ends.cc
@@ -37,7 +37,7 @@
 // Number of workers kept in a task's list of those on which it failed.
 constexpr std::size_t kMaxFailedWorkers = 4;
 
-void RecordFailedWorker(Task& task, const jobs::WorkerLife& worker) {
+void RecordFailedWorker(Task& task, const jobs::WorkerIncarnation& worker) {
   task.failed_on.push_back(worker);
   if (task.failed_on.size() > kMaxFailedWorkers)
     task.failed_on.erase(task.failed_on.begin());
@@ -83,7 +83,7 @@
 }
 
 void Scheduler::ApplyRunEnd(Job& job,
-                            const jobs::WorkerLife& worker,
+                            const jobs::WorkerIncarnation& worker,
                             const ReportedEnd& end,
                             base::Micros now) {
   const TaskPosition place = PositionOf(end.task);
@@ -91,7 +91,7 @@
   Task& task = TaskAt(job, place);
   if (!end.checkpoint.empty())
     task.checkpoint = end.checkpoint;
-  const bool lasting = StepOf(job, place).lasting;
+  const bool lasting = StepOf(job, place).long_running;
   const bool done = end.reason == RunEndReason::kSucceeded && !lasting;
   const bool failed = end.reason == RunEndReason::kFailed;
   if (done)
@@ -149,7 +149,7 @@
 void Scheduler::RecordTaskFailure(Job& job,
                                   const TaskPosition& place,
                                   int run,
-                                  const jobs::WorkerLife& worker,
+                                  const jobs::WorkerIncarnation& worker,
                                   base::Micros now) {
   const jobs::Step& step = StepOf(job, place);
   Task& task = TaskAt(job, place);
@@ -162,7 +162,7 @@
   if (job.finished())
     return;
   this->MarkChanged(job);
-  const int count = job.progress.FailuresOf(key);
+  const int count = job.progress.FailureCount(key);
   this->actions.emplace_back(
       LogNote{job.id, fmt::format("task {}.{}.{} run {} failed on {}, {} of {}",
                                   place.occurrence, place.step, place.index,
@@ -270,7 +270,8 @@
                        const Run& run,
                        base::Micros now) const {
   const jobs::Step& step = StepOf(job, PositionOf(id));
-  if (step.lasting || run.adopted || run.percent <= 0 || run.percent >= 100)
+  if (step.long_running || run.adopted || run.percent <= 0 ||
+      run.percent >= 100)
     return false;
   const base::Micros expected = this->run_times.Estimate(
       step.image.empty() ? job.queue.name : step.image, base::Micros::zero());
--- a/scheduler/evacuation.cc
+++ b/scheduler/evacuation.cc
@@ -73,7 +73,7 @@
       const jobs::Step& step = StepOf(*task.job, task.place);
       if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.place)))
         demand_by_pool[service][task.priority].current_cores +=
-            static_cast<double>(step.each.cpu_millis) / 1000.0;
+            static_cast<double>(step.task_resources.cpu_millis) / 1000.0;
     }
   }
   for (const jobs::Queue& queue : this->config.queues) {
@@ -103,12 +103,12 @@
     for (const Occurrence& occurrence : job.occurrences) {
       for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
         const jobs::Step& step = job.spec.steps[s];
-        if (!step.lasting)
+        if (!step.long_running)
           continue;
         const std::vector<Task>& all = occurrence.steps[s].tasks;
         const std::int64_t tasks =
             std::count_if(all.begin(), all.end(), CountsAsDemand);
-        const std::int64_t most = step.most_per_worker;
+        const std::int64_t most = step.max_per_worker;
         const std::int64_t boxes = most > 0 ? (tasks + most - 1) / most
                                             : std::min<std::int64_t>(tasks, 1);
         int& known = min_boxes[job.queue.service];
@@ -212,7 +212,7 @@
 
 // All runs on the box have ended once the platform has taken it.
 void Scheduler::ReclaimBox(const std::string& box, base::Micros now) {
-  const jobs::WorkerLife life = this->fleet.WorkerBeforeCall(box);
+  const jobs::WorkerIncarnation life = this->fleet.WorkerBeforeCall(box);
   if (!life.empty())
     this->EndIncarnation(life, LossReason::kBoxReclaimed, now);
 }
@@ -224,7 +224,7 @@
   if (job == this->jobs.end() || !HasTask(job->second, PositionOf(id)))
     return true;
   const jobs::Step& step = StepOf(job->second, PositionOf(id));
-  if (step.may_be_away <= 0)
+  if (step.max_unavailable <= 0)
     return true;
   std::int64_t away = 0;
   const StepState& runs = StepAt(job->second, PositionOf(id));
@@ -232,7 +232,7 @@
     const bool is_self = static_cast<int>(i) == id.index;
     away += !is_self && !this->IsKnownToServe(runs.tasks[i], now);
   }
-  return away < step.may_be_away;
+  return away < step.max_unavailable;
 }
 
 // Requires a recent listing, since the worker may have died after an older one.
@@ -250,7 +250,7 @@
     return true;
   const jobs::Resources takes = ReservedBy(StepOf(*job, PositionOf(id)));
   const StepState& runs = StepAt(*job, PositionOf(id));
-  const std::int64_t most = StepOf(*job, PositionOf(id)).most_per_worker;
+  const std::int64_t most = StepOf(*job, PositionOf(id)).max_per_worker;
   return std::any_of(
       this->workers.begin(), this->workers.end(), [&](const auto& entry) {
         const Worker& worker = entry.second;
--- a/scheduler/facts.h
+++ b/scheduler/facts.h
@@ -11,13 +11,13 @@
 #include "base/clock.h"
 #include "base/enum_names.h"
 #include "jobs/job.h"
-#include "jobs/worker_life.h"
+#include "jobs/worker_incarnation.h"
 
 namespace quartzhoist::scheduler {
 
 // One incarnation of a worker process, as the worker registers itself.
 struct WorkerInfo {
-  jobs::WorkerLife life;
+  jobs::WorkerIncarnation life;
   std::string box;
   std::string service;
   std::string address;  // ip:port
@@ -96,8 +96,8 @@
 
 // A worker's status report.
 struct WorkerReport {
-  jobs::WorkerLife life;      // the incarnation that answered
-  std::int64_t clock_ms = 0;  // the worker's own clock
+  jobs::WorkerIncarnation life;  // the incarnation that answered
+  std::int64_t clock_ms = 0;     // the worker's own clock
   std::vector<ReportedRun> running;
   std::vector<ReportedEnd> ended;
 };
@@ -131,7 +131,7 @@
 
 // Workers that are allowed to run a step, each with its authorising ticket.
 struct Advice {
-  std::map<jobs::WorkerLife, std::string> tickets;
+  std::map<jobs::WorkerIncarnation, std::string> tickets;
   base::Micros valid_for{};  // counted from the request
 };
 
--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -65,7 +65,7 @@
 // worker may have restarted just before the box went away, and announces itself
 // while it is away. Hence the minimum time away.
 void FleetPlanner::OnBoxAnnounced(const std::string& box,
-                                  const jobs::WorkerLife& worker,
+                                  const jobs::WorkerIncarnation& worker,
                                   const std::string& pool,
                                   base::Micros now) {
   for (auto& [number, progress] : this->waves) {
@@ -76,12 +76,12 @@
     const bool may_be_back =
         now >= upkeep.first_call_at + MinTimeAway(this->limits.upkeep_duration);
     if (upkeep.state == UpkeepState::kDown && may_be_back &&
-        jobs::IsOtherLife(upkeep.worker_before_call, worker))
+        jobs::IsDifferentIncarnation(upkeep.worker_before_call, worker))
       upkeep.state = UpkeepState::kDone;
   }
   const auto move = this->moves.find(box);
   if (move == this->moves.end() ||
-      !jobs::IsOtherLife(move->second.worker_before_call, worker))
+      !jobs::IsDifferentIncarnation(move->second.worker_before_call, worker))
     return;
   const bool may_be_back = pool == move->second.pool &&
                            now >= move->second.first_call_at +
@@ -368,7 +368,8 @@
          this->IsInUpkeep(box);
 }
 
-jobs::WorkerLife FleetPlanner::WorkerBeforeCall(const std::string& box) const {
+jobs::WorkerIncarnation FleetPlanner::WorkerBeforeCall(
+    const std::string& box) const {
   const auto move = this->moves.find(box);
   if (move != this->moves.end())
     return move->second.worker_before_call;
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -49,9 +49,9 @@
 struct FleetBox {
   std::string name;
   std::string pool;
-  jobs::WorkerLife worker;  // the announced instance; empty: none
-  bool available = false;   // can be moved or taken down
-  bool idle = false;        // no runs
+  jobs::WorkerIncarnation worker;  // the announced instance; empty: none
+  bool available = false;          // can be moved or taken down
+  bool idle = false;               // no runs
   int long_running_tasks = 0;
   double cores = 0.0;  // capacity
   double busy_cores = 0.0;
@@ -130,7 +130,7 @@
   void Inherit(const MaintainBox& call, base::Micros now);
   // A worker instance on the box announced itself in `pool`.
   void OnBoxAnnounced(const std::string& box,
-                      const jobs::WorkerLife& worker,
+                      const jobs::WorkerIncarnation& worker,
                       const std::string& pool,
                       base::Micros now);
   // The worker on the box answered a call by this owner.
@@ -153,7 +153,7 @@
   // True while nothing more may be placed on the box.
   bool IsLeaving(const std::string& box) const;
   // The worker instance on the box when its move or upkeep was requested.
-  jobs::WorkerLife WorkerBeforeCall(const std::string& box) const;
+  jobs::WorkerIncarnation WorkerBeforeCall(const std::string& box) const;
   bool HasOpenWave() const;
   // True while moves or waves are open, or no list has been read yet.
   bool NeedsBoxList() const;
@@ -168,7 +168,7 @@
   };
   struct Upkeep {
     UpkeepState state = UpkeepState::kPending;
-    jobs::WorkerLife worker_before_call;
+    jobs::WorkerIncarnation worker_before_call;
     base::Micros since{};
     base::Micros first_call_at{};  // it has not begun before
     base::Micros next_call_at{};
@@ -185,7 +185,7 @@
   };
   struct Move {
     std::string pool;
-    jobs::WorkerLife worker_before_call;
+    jobs::WorkerIncarnation worker_before_call;
     base::Micros since{};
     base::Micros first_call_at{};  // it has not begun before
     base::Micros next_call_at{};
--- a/scheduler/guaranteed_rates.cc
+++ b/scheduler/guaranteed_rates.cc
@@ -17,7 +17,7 @@
   for (const jobs::Organisation& organisation : organisations) {
     const auto [entry, is_new] = this->buckets.try_emplace(organisation.name);
     Bucket& bucket = entry->second;
-    bucket.jobs_per_second = organisation.jobs_a_second / this->shard_count;
+    bucket.jobs_per_second = organisation.jobs_per_second / this->shard_count;
     if (is_new)
       bucket.tokens = std::max(1.0, bucket.jobs_per_second * kBurstSeconds);
   }
--- a/scheduler/guaranteed_rates_test.cc
+++ b/scheduler/guaranteed_rates_test.cc
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_CASE(JobsWithinTheRateAndABurstAreGuaranteed) {
   GuaranteedRates rates(2);
-  rates.SetOrganisations({{.name = "bees", .keys = {}, .jobs_a_second = 20}});
+  rates.SetOrganisations({{.name = "bees", .keys = {}, .jobs_per_second = 20}});
   // Each of the two shards grants 10 of the 20 jobs per second.
   BOOST_TEST(CountWithinRate(rates, "bees", 100, seconds(1)) == 20);
   BOOST_TEST(
--- a/scheduler/job.cc
+++ b/scheduler/job.cc
@@ -30,7 +30,7 @@
 }
 
 bool ArePredecessorsDone(const jobs::Step& step, const Occurrence& occurrence) {
-  for (const int before : step.after) {
+  for (const int before : step.depends_on) {
     if (!IsStepDone(occurrence.steps[static_cast<std::size_t>(before)]))
       return false;
   }
@@ -57,8 +57,9 @@
   const std::int64_t count = job.spec.occurrences();
   for (std::int64_t k = 0; k < count; ++k) {
     Occurrence occurrence;
-    if (job.spec.repeats > 0) {
-      const std::int64_t at_ms = job.spec.first_at_ms + k * job.spec.every_ms;
+    if (job.spec.repeat_count > 0) {
+      const std::int64_t at_ms =
+          job.spec.start_at_ms + k * job.spec.interval_ms;
       occurrence.due = std::chrono::milliseconds(at_ms) + time_of_day_offset;
     } else {
       occurrence.due = accepted;
@@ -119,7 +120,7 @@
 }
 
 jobs::Resources ReservedBy(const jobs::Step& step) {
-  jobs::Resources takes = step.each;
+  jobs::Resources takes = step.task_resources;
   // A filling task uses only CPU time left over by others, so it reserves none.
   if (step.fills)
     takes.cpu_millis = 0;
@@ -132,7 +133,7 @@
     return ready;
   for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
     Occurrence& occurrence = job.occurrences[k];
-    if (job.spec.repeats > 0 && occurrence.due > now)
+    if (job.spec.repeat_count > 0 && occurrence.due > now)
       break;
     for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
       StepState& step_state = occurrence.steps[s];
@@ -163,7 +164,7 @@
                      [&](const auto& entry) {
                        const jobs::TaskKey& task = entry.first;
                        return !progress.IsDone(task.step, task.index) &&
-                              progress.FailuresOf(task) >= job.queue.attempts;
+                              progress.FailureCount(task) >= job.queue.attempts;
                      });
 }
 
--- a/scheduler/job.h
+++ b/scheduler/job.h
@@ -54,10 +54,10 @@
 
 struct Task {
   TaskState state = TaskState::kBlocked;
-  jobs::WorkerLife worker;  // while placed
-  int run = 0;              // run number, while placed
-  int latest_run = 0;       // highest run number assigned so far
-  int inherited_run = 0;    // latest run of earlier owners accounted for
+  jobs::WorkerIncarnation worker;  // while placed
+  int run = 0;                     // run number, while placed
+  int latest_run = 0;              // highest run number assigned so far
+  int inherited_run = 0;           // latest run of earlier owners accounted for
   bool is_serving = false;  // long-running task: reported in full service
   std::string checkpoint;   // latest reported; empty if none
   base::Micros ready_since{};
@@ -66,14 +66,14 @@
   // this ownership since.
   base::Micros lease_expired_at{};
   WaitReason wait_reason = WaitReason::kCapacity;  // while ready
-  base::Micros latest_loss_at{};            // last worker loss recorded for it
-  std::vector<jobs::WorkerLife> failed_on;  // latest last
+  base::Micros latest_loss_at{};  // last worker loss recorded for it
+  std::vector<jobs::WorkerIncarnation> failed_on;  // latest last
   int migrations = 0;  // times it was moved off a stalled or slow worker
 };
 
 // Cached advice on which workers are allowed to run a step.
 struct StepAdvice {
-  std::map<jobs::WorkerLife, std::string> tickets;
+  std::map<jobs::WorkerIncarnation, std::string> tickets;
   base::Micros valid_until{};   // expiry of the tickets
   base::Micros requested_at{};  // last request
   bool in_flight = false;
--- a/scheduler/listings.cc
+++ b/scheduler/listings.cc
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-void Scheduler::WorkerReported(const jobs::WorkerLife& asked,
+void Scheduler::WorkerReported(const jobs::WorkerIncarnation& asked,
                                const WorkerReport& listing,
                                base::Micros now) {
   Worker* answered = this->FindResponder(asked, listing.life, now);
@@ -176,10 +176,10 @@
   const bool known = HasTask(*job, PositionOf(listed.task));
   if (known) {
     const jobs::Step& step = StepOf(*job, PositionOf(listed.task));
-    run.reserved = step.each;
-    run.quota_usage = step.each;
+    run.reserved = step.task_resources;
+    run.quota_usage = step.task_resources;
     run.organisation_usage = &this->quotas.UsageOf(job->organisation);
-    run.lasting = step.lasting;
+    run.lasting = step.long_running;
     run.fills = step.fills;
     run.image = step.image;
     run.target_ms = step.target_ms;
@@ -272,7 +272,7 @@
 
 // Applies what a call's outcome tells about the worker and about this
 // ownership. Returns null if the life is not known or over.
-Worker* Scheduler::ApplyCommandOutcome(const jobs::WorkerLife& life,
+Worker* Scheduler::ApplyCommandOutcome(const jobs::WorkerIncarnation& life,
                                        CommandOutcome outcome,
                                        base::Micros now) {
   Worker* found = this->FindIncarnation(life);
@@ -287,7 +287,7 @@
   return found;
 }
 
-void Scheduler::PollFailed(const jobs::WorkerLife& life,
+void Scheduler::PollFailed(const jobs::WorkerIncarnation& life,
                            CommandOutcome outcome,
                            base::Micros now) {
   Worker* found = this->ApplyCommandOutcome(life, outcome, now);
@@ -484,7 +484,7 @@
 // Workers stop their runs when the lease expires, so the runs of an
 // unresponsive worker are over by then.
 void Scheduler::ExpireLeases(base::Micros now) {
-  std::vector<jobs::WorkerLife> dropped;
+  std::vector<jobs::WorkerIncarnation> dropped;
   for (auto& [id, worker] : this->workers) {
     const bool is_expired = now > worker.latest_lease_end + kLeaseExpirySlack;
     if (!is_expired)
@@ -506,7 +506,7 @@
     if (!worker.is_announced && worker.failed_calls >= kFailedCallsUntilDropped)
       dropped.push_back(id);
   }
-  for (const jobs::WorkerLife& id : dropped)
+  for (const jobs::WorkerIncarnation& id : dropped)
     this->workers.erase(id);
   this->worker_change_count += dropped.size();
 }
--- a/scheduler/looks.cc
+++ b/scheduler/looks.cc
@@ -77,12 +77,13 @@
 
 }  // namespace
 
-void Scheduler::LeaseGranted(const jobs::WorkerLife& life, base::Micros end) {
+void Scheduler::LeaseGranted(const jobs::WorkerIncarnation& life,
+                             base::Micros end) {
   if (Worker* worker = this->FindIncarnation(life))
     worker->latest_lease_end = std::max(worker->latest_lease_end, end);
 }
 
-void Scheduler::PollGrantsLease(const jobs::WorkerLife& life,
+void Scheduler::PollGrantsLease(const jobs::WorkerIncarnation& life,
                                 base::Micros end) {
   this->LeaseGranted(life, end);
   if (Worker* worker = this->FindIncarnation(life))
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -56,13 +56,14 @@
 // together, so they need it all at once.
 jobs::Resources QuotaNeededBy(const jobs::Step& step) {
   if (!step.gang)
-    return step.each;
-  return {.cpu_millis = step.each.cpu_millis * step.tasks,
-          .memory_mb = step.each.memory_mb * step.tasks,
-          .gpus = step.each.gpus * step.tasks};
+    return step.task_resources;
+  return {.cpu_millis = step.task_resources.cpu_millis * step.tasks,
+          .memory_mb = step.task_resources.memory_mb * step.tasks,
+          .gpus = step.task_resources.gpus * step.tasks};
 }
 
-std::string TicketFor(const StepState& runs, const jobs::WorkerLife& worker) {
+std::string TicketFor(const StepState& runs,
+                      const jobs::WorkerIncarnation& worker) {
   const auto found = runs.advice.tickets.find(worker);
   return found == runs.advice.tickets.end() ? std::string() : found->second;
 }
@@ -88,8 +89,8 @@
  public:
   StepDistribution(const jobs::Step& step,
                    const StepState& runs,
-                   const std::map<jobs::WorkerLife, Worker>& workers) {
-    if (!step.lasting && step.most_per_worker == 0)
+                   const std::map<jobs::WorkerIncarnation, Worker>& workers) {
+    if (!step.long_running && step.max_per_worker == 0)
       return;
     for (const Task& task : runs.tasks) {
       if (task.state != TaskState::kPlaced)
@@ -117,7 +118,7 @@
     return found == counts.end() ? 0 : found->second;
   }
 
-  std::map<jobs::WorkerLife, int> per_worker;
+  std::map<jobs::WorkerIncarnation, int> per_worker;
   std::map<std::string, int> per_rack;
 };
 
@@ -364,9 +365,9 @@
       if (job.queue.advice.required &&
           !runs.advice.tickets.contains(worker->info.life))
         continue;
-      if (step.most_per_worker > 0 &&
+      if (step.max_per_worker > 0 &&
           distribution.CountOnWorker(*worker) + allocated.members >=
-              step.most_per_worker)
+              step.max_per_worker)
         continue;
       // 2. Cost of the worker for this task.
       double cost =
@@ -379,17 +380,17 @@
         cost += kOtherRackCost;
       // A gang that spans several racks is slower: prefer the first member's
       // rack.
-      if (step.one_rack && !choices.empty() &&
+      if (step.rack_local && !choices.empty() &&
           choices.front().worker->info.rack != worker->info.rack)
         cost += kOtherRackCost;
-      if (step.lasting)
+      if (step.long_running)
         cost +=
             kSameStepOnRackCost * distribution.CountElsewhereOnRack(*worker);
       // A long-running task pins its box to the pool. Concentrate such tasks on
       // few boxes and fill these first, so that the other boxes can move.
       if (worker->lasting_runs > 0)
-        cost -= step.lasting ? kPinnedBoxBonusForLongRunning
-                             : kPinnedBoxBonusForOthers;
+        cost -= step.long_running ? kPinnedBoxBonusForLongRunning
+                                  : kPinnedBoxBonusForOthers;
       if (!best || cost < best_cost) {
         best = worker;
         best_cost = cost;
@@ -414,10 +415,10 @@
                        RunState state) {
   Run run{.number = number, .state = state};
   run.reserved = ReservedBy(step);
-  run.quota_usage = step.each;
+  run.quota_usage = step.task_resources;
   run.organisation_usage = &this->quotas.UsageOf(job.organisation);
   run.image = step.image;
-  run.lasting = step.lasting;
+  run.lasting = step.long_running;
   run.fills = step.fills;
   run.target_ms = step.target_ms;
   return run;
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -42,8 +42,9 @@
   }
 }
 
-void Scheduler::WorkersRecorded(const std::vector<jobs::WorkerLife>& lives) {
-  for (const jobs::WorkerLife& life : lives) {
+void Scheduler::WorkersRecorded(
+    const std::vector<jobs::WorkerIncarnation>& lives) {
+  for (const jobs::WorkerIncarnation& life : lives) {
     if (Worker* worker = this->FindIncarnation(life))
       worker->is_lease_recorded = true;
   }
@@ -75,14 +76,15 @@
     return;
   }
   job.exceeds_share = !this->due_shares.Consume(job.organisation, now);
-  if (job.spec.repeats > 0)
+  if (job.spec.repeat_count > 0)
     this->repeating_jobs.insert(job.id);
   double core_seconds = 0.0;
   for (const jobs::Step& step : job.spec.steps) {
-    if (step.lasting || step.fills)
+    if (step.long_running || step.fills)
       continue;
-    core_seconds += static_cast<double>(step.tasks * step.each.cpu_millis) /
-                    1000.0 * base::Seconds(this->ExpectedRun(job, step));
+    core_seconds +=
+        static_cast<double>(step.tasks * step.task_resources.cpu_millis) /
+        1000.0 * base::Seconds(this->ExpectedRun(job, step));
   }
   this->demand.RecordArrival(job.queue.name, core_seconds, now);
   this->InheritLosses(job, now);
@@ -136,7 +138,7 @@
     if (s == from)
       return chain;
     longest = std::max(longest, chain);
-    for (const int earlier : step.after) {
+    for (const int earlier : step.depends_on) {
       base::Micros& successor_chain =
           chain_after[static_cast<std::size_t>(earlier)];
       successor_chain = std::max(successor_chain, chain);
@@ -166,13 +168,13 @@
     return;
   task.ready_since = now;
   task.wait_reason = WaitReason::kCapacity;
-  const bool repeats = job.spec.repeats > 0;
+  const bool repeats = job.spec.repeat_count > 0;
   const auto k = static_cast<std::size_t>(place.occurrence);
   const base::Micros since = repeats ? job.occurrences[k].due : job.accepted_at;
   const base::Micros objective = this->ObjectiveOf(job);
   const base::Micros left =
       this->LongestChain(job, static_cast<std::size_t>(place.step));
-  const bool lasting = StepOf(job, place).lasting;
+  const bool lasting = StepOf(job, place).long_running;
   const bool begun = job.has_started || place.step > 0;
   this->ready[job.queue.service].Insert(
       {.priority = job.queue.priority,
@@ -428,7 +430,7 @@
       this->confirmed_at + this->limits.max_lease_after_confirmation);
 }
 
-std::int64_t Scheduler::LeaseDeadline(const jobs::WorkerLife& worker,
+std::int64_t Scheduler::LeaseDeadline(const jobs::WorkerIncarnation& worker,
                                       base::Micros end) const {
   const Worker* known = this->FindWorker(worker);
   return known ? DeadlineFor(*known, end) : 0;
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -84,7 +84,7 @@
   // been recorded again.
   void InheritWorker(const WorkerInfo& info, base::Micros lease_end);
   // The stored worker list names `lives` as held by this owner.
-  void WorkersRecorded(const std::vector<jobs::WorkerLife>& lives);
+  void WorkersRecorded(const std::vector<jobs::WorkerIncarnation>& lives);
   // This shard's share of an organisation's quota, in thousandths.
   void SetQuotaShare(const std::string& organisation, int share) {
     this->quotas.SetShare(organisation, share);
@@ -102,10 +102,10 @@
 
   // --- Results of actions ---
   // `asked` is the incarnation that was polled; another one may have answered.
-  void WorkerReported(const jobs::WorkerLife& asked,
+  void WorkerReported(const jobs::WorkerIncarnation& asked,
                       const WorkerReport& report,
                       base::Micros now);
-  void PollFailed(const jobs::WorkerLife& worker,
+  void PollFailed(const jobs::WorkerIncarnation& worker,
                   CommandOutcome outcome,
                   base::Micros now);
   // `clock_ms` is the worker's clock as read from its response; 0 if unknown.
@@ -121,10 +121,10 @@
                       const std::optional<Advice>& advice,
                       base::Micros now);
   // A command that grants a lease until `end` is about to be sent.
-  void LeaseGranted(const jobs::WorkerLife& worker, base::Micros end);
+  void LeaseGranted(const jobs::WorkerIncarnation& worker, base::Micros end);
   void PollSent(const PollWorker& command, base::Micros now);
   // The poll that is being sent grants a lease until `end`.
-  void PollGrantsLease(const jobs::WorkerLife& worker, base::Micros end);
+  void PollGrantsLease(const jobs::WorkerIncarnation& worker, base::Micros end);
 
   // --- Boxes ---
   // Box calls that an earlier owner recorded before making them. Must be the
@@ -153,12 +153,12 @@
   // End of a lease granted at `now`, on the local clock.
   base::Micros LeaseEnd(base::Micros now) const;
   // Deadline on the worker's clock for a lease until `end` on the local clock.
-  std::int64_t LeaseDeadline(const jobs::WorkerLife& worker,
+  std::int64_t LeaseDeadline(const jobs::WorkerIncarnation& worker,
                              base::Micros end) const;
-  const Worker* FindWorker(const jobs::WorkerLife& life) const;
+  const Worker* FindWorker(const jobs::WorkerIncarnation& life) const;
   // The known incarnation of the worker `id`, or null.
   const Worker* FindWorker(const std::string& id) const;
-  const std::map<jobs::WorkerLife, Worker>& all_workers() const {
+  const std::map<jobs::WorkerIncarnation, Worker>& all_workers() const {
     return this->workers;
   }
   const std::unordered_map<std::string, Job>& all_jobs() const {
@@ -219,14 +219,14 @@
   // run ends
   void ProcessRunEnd(Worker& worker, const ReportedEnd& end, base::Micros now);
   void ApplyRunEnd(Job& job,
-                   const jobs::WorkerLife& worker,
+                   const jobs::WorkerIncarnation& worker,
                    const ReportedEnd& end,
                    base::Micros now);
   void MarkTaskDone(Job& job, const TaskPosition& place, base::Micros now);
   void RecordTaskFailure(Job& job,
                          const TaskPosition& place,
                          int run,
-                         const jobs::WorkerLife& worker,
+                         const jobs::WorkerIncarnation& worker,
                          base::Micros now);
   // The run is over without completing its task, which is queued again.
   void HandleLostRun(const jobs::TaskId& id, int run, base::Micros now);
@@ -249,7 +249,7 @@
       LossReason reason);
   void RecordLoss(Job& job,
                   const TaskPosition& place,
-                  const jobs::WorkerLife& life,
+                  const jobs::WorkerIncarnation& life,
                   const jobs::WorkerLoss& loss,
                   base::Micros now);
   void RecordUnobservedLoss(Job& job,
@@ -274,19 +274,19 @@
 
   // reports about jobs that have not been loaded
   struct UnknownJob {
-    std::vector<std::pair<jobs::WorkerLife, ReportedEnd>> ends;
-    std::vector<std::pair<jobs::WorkerLife, jobs::TaskId>> runs;
+    std::vector<std::pair<jobs::WorkerIncarnation, ReportedEnd>> ends;
+    std::vector<std::pair<jobs::WorkerIncarnation, jobs::TaskId>> runs;
   };
   UnknownJob& UnknownJobFor(const std::string& job);
   void BufferRunEnd(Worker& worker, const ReportedEnd& end);
   void BufferRun(Worker& worker, const ReportedRun& reported, base::Micros now);
   void ApplyBufferedReports(Job& job, base::Micros now);
-  void ReleaseBufferedEnd(const jobs::WorkerLife& worker,
+  void ReleaseBufferedEnd(const jobs::WorkerIncarnation& worker,
                           const ReportedEnd& end,
                           std::uint64_t change);
 
   // worker reports
-  Worker* ApplyCommandOutcome(const jobs::WorkerLife& life,
+  Worker* ApplyCommandOutcome(const jobs::WorkerIncarnation& life,
                               CommandOutcome outcome,
                               base::Micros now);
   void ProcessReportedRun(Worker& worker,
@@ -306,13 +306,13 @@
   void AdvanceAcknowledged(Worker& worker);
 
   // worker incarnations
-  Worker* FindIncarnation(const jobs::WorkerLife& life);
+  Worker* FindIncarnation(const jobs::WorkerIncarnation& life);
   Worker* CurrentIncarnation(const std::string& id);
   // This incarnation, or a later one that may have runs meant for it.
-  Worker* FindHolder(const jobs::WorkerLife& life);
-  bool HasEnded(const jobs::WorkerLife& life) const;
-  Worker* FindResponder(const jobs::WorkerLife& asked,
-                        const jobs::WorkerLife& answered,
+  Worker* FindHolder(const jobs::WorkerIncarnation& life);
+  bool HasEnded(const jobs::WorkerIncarnation& life) const;
+  Worker* FindResponder(const jobs::WorkerIncarnation& asked,
+                        const jobs::WorkerIncarnation& answered,
                         base::Micros now);
   Worker& ReplaceRestarted(Worker& earlier,
                            const WorkerInfo& info,
@@ -322,12 +322,12 @@
                    Run run,
                    const std::optional<PossibleLoss>& loss);
   // Removes a worker incarnation of which no run is active any more.
-  void RemoveWorker(const jobs::WorkerLife& life,
+  void RemoveWorker(const jobs::WorkerIncarnation& life,
                     LossReason reason,
                     base::Micros now);
   // As RemoveWorker, and ignores the incarnation if its registration is still
   // stored and is read again.
-  void EndIncarnation(const jobs::WorkerLife& life,
+  void EndIncarnation(const jobs::WorkerIncarnation& life,
                       LossReason reason,
                       base::Micros now);
   void HandleLostRuns(const Worker& worker,
@@ -412,7 +412,7 @@
 
   SchedulerLimits limits;
   jobs::Config config;
-  std::map<jobs::WorkerLife, Worker> workers;  // one incarnation per id
+  std::map<jobs::WorkerIncarnation, Worker> workers;  // one incarnation per id
   // Start time of the latest ended incarnation, by worker id, until its
   // registration is removed.
   std::map<std::string, std::int64_t> ended_incarnations;
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -43,8 +43,8 @@
                       {.run = i,
                        .box = "b" + std::to_string(i),
                        .has_crashed = true,
-                       .was_alone = true,
-                       .was_seen = true});
+                       .was_sole_suspect = true,
+                       .start_confirmed = true});
   }
   progress.last_tries[task] = {4, 5};
   return progress;
@@ -110,7 +110,7 @@
     if (reason == StuckReason::kLabel)
       step.label = "nowhere";
     if (reason == StuckReason::kSize)
-      step.each.memory_mb = 100'000;
+      step.task_resources.memory_mb = 100'000;
     if (reason == StuckReason::kGivenUp)
       progress = ProgressOfGivenUpTask();
     this->AddJobTo(pool, id, step, reason == StuckReason::kQuota ? "full" : "",
@@ -173,7 +173,7 @@
   ThreePools fleet;
   jobs::Step step = Bench::OneLastingTask();
   step.tasks = 100;
-  step.most_per_worker = 1;
+  step.max_per_worker = 1;
   fleet.AddJobTo("pool", "wide", step, "full");
   fleet.RunTurns(100);
   BOOST_TEST(fleet.starts == 0);
@@ -226,12 +226,12 @@
   ThreePools fleet;
   jobs::Step many = Bench::OneLastingTask();
   many.tasks = 20;
-  many.each = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
+  many.task_resources = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
   fleet.AddJobTo("pool", "many", many);
   fleet.RunTurns(30);
   BOOST_REQUIRE(fleet.starts == 20);
   jobs::Step large = Bench::OneLastingTask();
-  large.each.memory_mb = 3000;
+  large.task_resources.memory_mb = 3000;
   fleet.AddJobTo("pool", "large", large);
   fleet.RunTurns(20);
   BOOST_TEST(fleet.starts == 21);
@@ -256,10 +256,10 @@
     for (const std::string& pool : pools) {
       jobs::Step step = Bench::OneLastingTask();
       step.tasks = *rc::gen::inRange(1, 26);
-      step.each = {.cpu_millis = *rc::gen::inRange(10, 4000),
-                   .memory_mb = *rc::gen::inRange(10, 4000),
-                   .gpus = 0};
-      step.most_per_worker = *rc::gen::inRange(0, 2);
+      step.task_resources = {.cpu_millis = *rc::gen::inRange(10, 4000),
+                             .memory_mb = *rc::gen::inRange(10, 4000),
+                             .gpus = 0};
+      step.max_per_worker = *rc::gen::inRange(0, 2);
       fleet.AddJobTo(pool, "fits-" + pool, step);
       tasks += static_cast<int>(step.tasks);
     }
--- a/scheduler/suspects.cc
+++ b/scheduler/suspects.cc
@@ -44,9 +44,9 @@
     if (!loss.has_crashed)
       continue;
     ++crashes;
-    reported += loss.was_seen;
+    reported += loss.start_confirmed;
     boxes.insert(loss.box);
-    was_alone = was_alone || loss.was_alone;
+    was_alone = was_alone || loss.was_sole_suspect;
   }
   // If all crashes were on one box, the box may be the cause. A start without
   // an answer may never have been carried out, so crashes of reported runs are
@@ -68,7 +68,7 @@
   return count >= kLossesBeforeProbe ? Suspicion::kProbe : Suspicion::kLow;
 }
 
-void UnresolvedLosses::Add(const jobs::WorkerLife& life,
+void UnresolvedLosses::Add(const jobs::WorkerIncarnation& life,
                            const std::string& box,
                            const std::string& job) {
   Life& entry = this->lives[life];
@@ -77,7 +77,8 @@
   this->by_box[box].insert(life);
 }
 
-std::set<std::string> UnresolvedLosses::Remove(const jobs::WorkerLife& life) {
+std::set<std::string> UnresolvedLosses::Remove(
+    const jobs::WorkerIncarnation& life) {
   const auto found = this->lives.find(life);
   if (found == this->lives.end())
     return {};
@@ -90,14 +91,14 @@
   return removed.jobs;
 }
 
-std::vector<jobs::WorkerLife> UnresolvedLosses::OtherLivesOn(
+std::vector<jobs::WorkerIncarnation> UnresolvedLosses::OtherLivesOn(
     const std::string& box,
-    const jobs::WorkerLife& life) const {
+    const jobs::WorkerIncarnation& life) const {
   const auto found = this->by_box.find(box);
   if (found == this->by_box.end())
     return {};
-  std::vector<jobs::WorkerLife> others;
-  for (const jobs::WorkerLife& lost : found->second) {
+  std::vector<jobs::WorkerIncarnation> others;
+  for (const jobs::WorkerIncarnation& lost : found->second) {
     if (lost != life)
       others.push_back(lost);
   }
--- a/scheduler/suspects.h
+++ b/scheduler/suspects.h
@@ -21,8 +21,8 @@
   kLow,       // one worker was lost; any task that ran there may be the cause
   kProbe,     // start alone, so that a crash affects no other task
   kDeferred,  // don't start yet: it may become known whether the workers
-              // crashed, or a last try of a lasting task is delayed
-  kGiveUp,    // don't start any more
+  // crashed, or a last try of a lasting task is delayed
+  kGiveUp,  // don't start any more
 };
 
 // `last_tries`: the runs placed after three workers had been lost.
@@ -49,15 +49,15 @@
 // answers on its box, it has.
 class UnresolvedLosses {
  public:
-  void Add(const jobs::WorkerLife& life,
+  void Add(const jobs::WorkerIncarnation& life,
            const std::string& box,
            const std::string& job);
   // Removes the entry of this life and returns the jobs in it.
-  std::set<std::string> Remove(const jobs::WorkerLife& life);
+  std::set<std::string> Remove(const jobs::WorkerIncarnation& life);
   // Returns the lives in this collection on the box, except `life`.
-  std::vector<jobs::WorkerLife> OtherLivesOn(
+  std::vector<jobs::WorkerIncarnation> OtherLivesOn(
       const std::string& box,
-      const jobs::WorkerLife& life) const;
+      const jobs::WorkerIncarnation& life) const;
   std::size_t size() const { return this->lives.size(); }
 
  private:
@@ -65,8 +65,8 @@
     std::string box;
     std::set<std::string> jobs;
   };
-  std::map<jobs::WorkerLife, Life> lives;
-  std::map<std::string, std::set<jobs::WorkerLife>> by_box;
+  std::map<jobs::WorkerIncarnation, Life> lives;
+  std::map<std::string, std::set<jobs::WorkerIncarnation>> by_box;
 };
 
 }  // namespace quartzhoist::scheduler
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -17,12 +17,12 @@
 using testing::Only;
 using Bench = testing::SchedulerBench;
 
-jobs::WorkerLife Life(const char* id) {
+jobs::WorkerIncarnation Life(const char* id) {
   return {.id = id};
 }
 
 jobs::WorkerLoss Crash(int run, const std::string& box) {
-  return {.run = run, .box = box, .has_crashed = true, .was_seen = true};
+  return {.run = run, .box = box, .has_crashed = true, .start_confirmed = true};
 }
 
 // Guards against blocking a whole step: a task that must start alone waits for
@@ -63,7 +63,7 @@
   BOOST_CHECK(AssessSuspicion(two, {}, seconds(9)) == Suspicion::kProbe);
   // A third loss, not yet known to be a crash.
   jobs::WorkerLosses three = two;
-  three[Life("c")] = {.run = 3, .box = "z", .was_alone = true};
+  three[Life("c")] = {.run = 3, .box = "z", .was_sole_suspect = true};
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kDeferred);
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
   BOOST_CHECK(AssessSuspicion(three, {4}, seconds(9)) == Suspicion::kProbe);
@@ -71,13 +71,13 @@
   three[Life("c")].has_crashed = true;
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kGiveUp);
   // Without a crash while it ran alone, the task is not proven to be the cause.
-  three[Life("c")].was_alone = false;
+  three[Life("c")].was_sole_suspect = false;
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
   // All crashes on one box: the box may be the cause.
   jobs::WorkerLosses one_box{{Life("a"), Crash(1, "x")},
                              {Life("b"), Crash(2, "x")},
                              {Life("c"), Crash(3, "x")}};
-  one_box[Life("c")].was_alone = true;
+  one_box[Life("c")].was_sole_suspect = true;
   BOOST_CHECK(AssessSuspicion(one_box, {}, seconds(9)) == Suspicion::kProbe);
 }
 
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -90,7 +90,7 @@
 }
 
 // Allows the end to be acknowledged once this change of its job is saved.
-void Scheduler::ReleaseBufferedEnd(const jobs::WorkerLife& id,
+void Scheduler::ReleaseBufferedEnd(const jobs::WorkerIncarnation& id,
                                    const ReportedEnd& end,
                                    std::uint64_t change) {
   const auto worker = this->workers.find(id);
--- a/scheduler/worker.h
+++ b/scheduler/worker.h
@@ -29,7 +29,7 @@
 // The loss of a worker life that may have had the run. It counts only if the
 // next life turns out not to have started the run.
 struct PossibleLoss {
-  jobs::WorkerLife life;
+  jobs::WorkerIncarnation life;
   jobs::WorkerLoss loss;
 };
 
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_lives.cc
@@ -14,12 +14,12 @@
 
 // --- Lookup ---
 
-Worker* Scheduler::FindIncarnation(const jobs::WorkerLife& life) {
+Worker* Scheduler::FindIncarnation(const jobs::WorkerIncarnation& life) {
   const auto found = this->workers.find(life);
   return found == this->workers.end() ? nullptr : &found->second;
 }
 
-const Worker* Scheduler::FindWorker(const jobs::WorkerLife& life) const {
+const Worker* Scheduler::FindWorker(const jobs::WorkerIncarnation& life) const {
   const auto found = this->workers.find(life);
   return found == this->workers.end() ? nullptr : &found->second;
 }
@@ -36,17 +36,17 @@
   return is_match ? &found->second : nullptr;
 }
 
-Worker* Scheduler::FindHolder(const jobs::WorkerLife& life) {
+Worker* Scheduler::FindHolder(const jobs::WorkerIncarnation& life) {
   Worker* current = this->CurrentIncarnation(life.id);
   const bool is_holder = current && (current->info.life == life ||
                                      current->info.life.IsAfter(life));
   return is_holder ? current : nullptr;
 }
 
-bool Scheduler::HasEnded(const jobs::WorkerLife& life) const {
+bool Scheduler::HasEnded(const jobs::WorkerIncarnation& life) const {
   const auto ended = this->ended_incarnations.find(life.id);
   return ended != this->ended_incarnations.end() &&
-         life.born_ms <= ended->second;
+         life.start_ms <= ended->second;
 }
 
 // --- New lives ---
@@ -55,7 +55,7 @@
   WorkerInfo info = announced;
   Worker* known = this->CurrentIncarnation(info.life.id);
   // An announcement without a start time belongs to the known life.
-  if (known && info.life.born_ms == 0)
+  if (known && info.life.start_ms == 0)
     info.life = known->info.life;
   const bool is_earlier = known && known->info.life.IsAfter(info.life);
   if (is_earlier || this->HasEnded(info.life))
@@ -90,11 +90,11 @@
 
 // The life that the answer is from; null if it is from an earlier life, or the
 // asked life is not known.
-Worker* Scheduler::FindResponder(const jobs::WorkerLife& asked,
-                                 const jobs::WorkerLife& answered,
+Worker* Scheduler::FindResponder(const jobs::WorkerIncarnation& asked,
+                                 const jobs::WorkerIncarnation& answered,
                                  base::Micros now) {
   Worker* worker = this->FindIncarnation(asked);
-  if (!worker || answered == asked || answered.born_ms == 0)
+  if (!worker || answered == asked || answered.start_ms == 0)
     return worker;
   if (asked.IsAfter(answered)) {
     worker->poll_in_flight = false;
@@ -112,7 +112,7 @@
 Worker& Scheduler::ReplaceRestarted(Worker& earlier,
                                     const WorkerInfo& info,
                                     base::Micros now) {
-  const jobs::WorkerLife ended_life = earlier.info.life;
+  const jobs::WorkerIncarnation ended_life = earlier.info.life;
   std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses =
       this->CollectLosses(earlier, runs, LossReason::kRestarted);
@@ -124,7 +124,7 @@
   next.next_poll_at = now;
   // 2. Move runs that it may have started.
   WorkerRestarted restarted{.worker = info.life,
-                            .earlier_born_ms = ended_life.born_ms,
+                            .earlier_born_ms = ended_life.start_ms,
                             .last_end_sequence = earlier.last_processed_end};
   for (auto it = runs.begin(); it != runs.end();) {
     const bool may_be_started =
@@ -199,7 +199,7 @@
     this->RemoveWorker(worker->info.life, LossReason::kDeregistered, now);
 }
 
-void Scheduler::RemoveWorker(const jobs::WorkerLife& life,
+void Scheduler::RemoveWorker(const jobs::WorkerIncarnation& life,
                              LossReason sign,
                              base::Micros now) {
   const auto found = this->workers.find(life);
@@ -213,12 +213,12 @@
 // Remembers the life as over. When the store has discarded its change history,
 // all rows are read again, including announcements of ended lives. Without this
 // record, such a life on a box in upkeep would be taken for its successor.
-void Scheduler::EndIncarnation(const jobs::WorkerLife& life,
+void Scheduler::EndIncarnation(const jobs::WorkerIncarnation& life,
                                LossReason sign,
                                base::Micros now) {
-  const jobs::WorkerLife ended_life = life;
+  const jobs::WorkerIncarnation ended_life = life;
   std::int64_t& latest = this->ended_incarnations[ended_life.id];
-  latest = std::max(latest, ended_life.born_ms);
+  latest = std::max(latest, ended_life.start_ms);
   this->RemoveWorker(ended_life, sign, now);
 }
 
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_lives_test.cc
@@ -28,7 +28,7 @@
 jobs::Step MakeStep(int tasks, std::int64_t cpu) {
   jobs::Step step;
   step.tasks = tasks;
-  step.each = {.cpu_millis = cpu, .memory_mb = 300, .gpus = 0};
+  step.task_resources = {.cpu_millis = cpu, .memory_mb = 300, .gpus = 0};
   step.estimate_ms = 1000;
   return step;
 }
@@ -45,12 +45,12 @@
         MakeStep(*rc::gen::inRange(1, 6), *rc::gen::inRange(300, 1500)));
     const int kind = *rc::gen::inRange(0, 4);
     if (kind == 0) {
-      job.spec.steps.back().lasting = true;
-      job.spec.steps.back().each = {
+      job.spec.steps.back().long_running = true;
+      job.spec.steps.back().task_resources = {
           .cpu_millis = 50, .memory_mb = 50, .gpus = 0};
     } else if (kind == 1) {
       job.spec.steps.push_back(MakeStep(*rc::gen::inRange(1, 4), 1000));
-      job.spec.steps.back().after = {0};
+      job.spec.steps.back().depends_on = {0};
     }
     jobs.push_back(job);
   }
@@ -65,7 +65,7 @@
 }
 
 bool IsLasting(const ModelJob& job) {
-  return job.spec.steps.back().lasting;
+  return job.spec.steps.back().long_running;
 }
 
 // Runs the model for 25 s with generated faults and worker restarts, then for
@@ -103,16 +103,16 @@
 BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
-  first.life.born_ms = kFirstBorn;
+  first.life.start_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(first, bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn}});
+  bench.List("w", {.life = {.id = "w", .start_ms = kFirstBorn}});
   bench.AddJob("before");
   const scheduler::StartRun before = bench.NextStart();
   bench.scheduler.LeaseGranted(bench.LifeOf("w"),
                                bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(before, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn},
+  bench.List("w", {.life = {.id = "w", .start_ms = kFirstBorn},
                    .ended = {{.sequence = 5,
                               .task = before.task,
                               .run = before.run,
@@ -122,9 +122,9 @@
   // The worker restarts, numbers its ends from 1 again, and must not receive an
   // acknowledgement for the earlier life.
   scheduler::WorkerInfo next = Bench::Worker("w");
-  next.life.born_ms = kNextBorn;
+  next.life.start_ms = kNextBorn;
   bench.scheduler.UpdateWorker(next, bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn}});
+  bench.List("w", {.life = {.id = "w", .start_ms = kNextBorn}});
   bench.AddJob("after");
   const scheduler::StartRun after = bench.NextStart();
   BOOST_REQUIRE(after.task == FirstTask("after"));
@@ -134,7 +134,7 @@
                                 bench.now);
   for (const PollWorker& look : Only<PollWorker>(bench.Turn()))
     BOOST_TEST(look.acknowledged == 0);
-  bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn},
+  bench.List("w", {.life = {.id = "w", .start_ms = kNextBorn},
                    .ended = {{.sequence = 1,
                               .task = after.task,
                               .run = after.run,
@@ -151,7 +151,7 @@
 BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.born_ms = kFirstBorn;
+  info.life.start_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
   bench.List("w", {});
   bench.AddJob("first");
@@ -185,7 +185,7 @@
 BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.born_ms = kFirstBorn;
+  info.life.start_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
   bench.List("w", {});
   bench.AddJob("job");
@@ -201,7 +201,7 @@
     bench.List("w", {});
   }
   BOOST_REQUIRE(!bench.scheduler.FindWorker("w")->runs.contains(start.task));
-  info.life.born_ms = kNextBorn;
+  info.life.start_ms = kNextBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
   const auto stops = Only<scheduler::StopRun>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(stops.size() == 1U);
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -58,14 +58,14 @@
   static jobs::Step OneTask() {
     jobs::Step step;
     step.tasks = 1;
-    step.each = {.cpu_millis = 1000, .memory_mb = 100, .gpus = 0};
+    step.task_resources = {.cpu_millis = 1000, .memory_mb = 100, .gpus = 0};
     step.estimate_ms = 1000;
     return step;
   }
 
   static jobs::Step OneLastingTask() {
     jobs::Step step = OneTask();
-    step.lasting = true;
+    step.long_running = true;
     return step;
   }
 
@@ -88,7 +88,7 @@
   void List(const std::string& worker,
             scheduler::WorkerReport listing,
             base::Micros grant = {}) {
-    const jobs::WorkerLife asked = this->LifeOf(worker);
+    const jobs::WorkerIncarnation asked = this->LifeOf(worker);
     if (listing.life.empty())
       listing.life = asked;
     this->scheduler.PollSent({.worker = asked}, this->now);
@@ -101,9 +101,9 @@
   }
 
   // Returns the worker life that the scheduler knows under the id.
-  jobs::WorkerLife LifeOf(const std::string& id) const {
+  jobs::WorkerIncarnation LifeOf(const std::string& id) const {
     const scheduler::Worker* known = this->scheduler.FindWorker(id);
-    return known ? known->info.life : jobs::WorkerLife{.id = id};
+    return known ? known->info.life : jobs::WorkerIncarnation{.id = id};
   }
 
   // Confirms the ownership for the next 1.15 s.
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -85,8 +85,9 @@
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
           "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
-          jobs::TextOf(id), worker.has_listing, worker.failed_calls,
-          worker.poll_in_flight, base::Seconds(worker.latest_lease_end));
+          jobs::FormatWorkerIncarnation(id), worker.has_listing,
+          worker.failed_calls, worker.poll_in_flight,
+          base::Seconds(worker.latest_lease_end));
       for (const auto& [task, run] : worker.runs) {
         text +=
             fmt::format("    {} {}.{} run {} state {}\n", task.job, task.step,
@@ -119,7 +120,7 @@
 
 scheduler::WorkerInfo SchedulerModel::InfoOf(const Worker& worker) const {
   const auto box = this->boxes.find(worker.box);
-  return {.life = {.id = worker.id, .born_ms = worker.born_ms},
+  return {.life = {.id = worker.id, .start_ms = worker.born_ms},
           .box = worker.box,
           .service = box == this->boxes.end() ? "pool" : box->second.pool,
           .address = worker.id,
@@ -151,7 +152,7 @@
 // Stores the listed workers as held by this owner. This precedes each worker's
 // first lease from it.
 void SchedulerModel::RecordListed(Owner& owner) {
-  std::vector<jobs::WorkerLife> held;
+  std::vector<jobs::WorkerIncarnation> held;
   for (const auto& [life, worker] : owner.scheduler->all_workers()) {
     if (!worker.has_listing || worker.is_lease_recorded)
       continue;
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -269,7 +269,7 @@
   // The stored list of workers that may hold a lease. `until`: the end of the
   // lease, if the current owner has not listed the worker yet.
   struct Lease {
-    jobs::WorkerLife life;
+    jobs::WorkerIncarnation life;
     std::optional<base::Micros> until;
   };
   std::map<std::string, Lease> leases;
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -271,7 +271,8 @@
   const bool is_at_work =
       found != this->presence.end() &&
       found->second.last_at_work + milliseconds(100) > this->now;
-  if (!step.lasting || step.may_be_away <= 0 || stored.cancelled || !is_at_work)
+  if (!step.long_running || step.max_unavailable <= 0 || stored.cancelled ||
+      !is_at_work)
     return;
   std::int64_t away = 0;
   for (const auto& [other, presence] : this->presence) {
@@ -280,7 +281,7 @@
     away += counts && (presence.is_away_by_order ||
                        this->now - presence.last_at_work >= kAwayThreshold);
   }
-  if (away >= step.may_be_away)
+  if (away >= step.max_unavailable)
     this->ReportViolation(
         fmt::format("{} stops {}.{} while {} other tasks of its step are away",
                     by, task.job, task.index, away));
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -62,7 +62,7 @@
   const bool crashes =
       this->jobs.at(order.task.job)
           .job.crashing.contains(scheduler::PositionOf(order.task));
-  if (crashes || (step.lasting && !fails))
+  if (crashes || (step.long_running && !fails))
     ends = base::Micros::max();
   worker.running[order.task] = {
       .number = order.run, .ends = ends, .fails = fails};
@@ -182,10 +182,10 @@
   const auto failed = stored.recorded_failures.find(place);
   const jobs::Step& step =
       stored.job.spec.steps[static_cast<std::size_t>(place.step)];
-  if (!step.lasting && failed != stored.recorded_failures.end() &&
+  if (!step.long_running && failed != stored.recorded_failures.end() &&
       failed->second >= stored.job.attempts)
     this->ReportViolation(name + " starts after its last attempt failed");
-  for (const int before : step.after) {
+  for (const int before : step.depends_on) {
     const auto& earlier =
         stored.job.spec.steps[static_cast<std::size_t>(before)];
     for (int i = 0; i < earlier.tasks; ++i) {
@@ -194,11 +194,11 @@
                               " starts before a step it depends on is done");
     }
   }
-  jobs::Resources used = step.each;
+  jobs::Resources used = step.task_resources;
   for (const auto& [task, run] : worker.running) {
     used = used + this->jobs.at(task.job)
                       .job.spec.steps[static_cast<std::size_t>(task.step)]
-                      .each;
+                      .task_resources;
   }
   // A reduced capacity counts once the owner must have learned of it.
   const bool may_be_unknown =
@@ -265,7 +265,7 @@
 
 scheduler::WorkerReport SchedulerModel::ListingOf(const Worker& worker) const {
   scheduler::WorkerReport listing;
-  listing.life = {.id = worker.id, .born_ms = worker.born_ms};
+  listing.life = {.id = worker.id, .start_ms = worker.born_ms};
   listing.clock_ms = base::Millis(this->ClockOf(worker));
   for (const auto& [task, run] : worker.running) {
     if (run.stopping)
