--- a/entry/save_policy.cc
+++ b/entry/save_policy.cc
@@ -9,29 +9,33 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A save that took longer shows a slow store (4 to 9 ms on a calm day).
+// A longer save marks the store as slow; under normal load a save takes 4 to
+// 9 ms.
 constexpr base::Micros kSlowWriteThreshold = milliseconds(60);
 
-// Confirmations come each 0.45 s, a slow store answers them some 0.4 s late.
-// What is written later than this is still conditional: it is only spared, so
-// that an owner which the store turns away does not flood it.
-constexpr base::Micros kWriteAllowance = milliseconds(1200);
+// Confirmations arrive every 0.45 s, and a slow store delays them by about
+// 0.4 s. Later writes would still be safe, because they are conditional; they
+// are held back so that an owner does not flood a store that rejects it.
+constexpr base::Micros kMaxAnswerAge = milliseconds(1200);
 
-// After a refused write over several parts each part goes alone for so long:
-// several rounds of saves (0.2 s), shorter than outages of a store (3 to 9 s on
-// the sites), so that calls are few again soon after.
+// How long each write is limited to one part after the store refused a write
+// over several. Covers several save intervals (0.2 s), and is shorter than the
+// store outages seen on the sites (3 to 9 s), so that writes are batched again
+// soon after one.
 constexpr base::Micros kSinglePartPeriod = seconds(2);
 
 }  // namespace
 
-// Where one write may span parts, a quick store takes rows of several at once,
-// in few calls. Two loads make that the wrong choice. A slow store writes each
-// part's calls in turn, and one over several parts holds up all of them. A
-// store of which some parts are away refuses every write that touches one of
-// them: at a height of demand nearly every write does, and nothing starts at
-// all. (Of a day with 6 s of that 84% of the work was served, by its value, 73%
-// with rows of several parts in a call throughout; 540 workers, one play each.)
-// A store that is only too busy (429) is not asked more often for it.
+// If the store accepts writes over several parts, batching rows of many parts
+// keeps the number of calls low while the store is fast. It is harmful in two
+// cases. A slow store serializes the calls of each part, so a write over
+// several parts blocks all of them. A store with some parts unavailable refuses
+// every write that touches one of these: at peak demand nearly every write
+// does, and no task starts at all. (In a replayed day with 6 s of such an
+// outage, 84% of the work was served by value, against 73% with multi-part
+// writes throughout; 540 workers, one run each.) A throttled write (429) does
+// not limit writes to one part, since that would send more calls to an
+// overloaded store.
 void SavePolicy::OnWriteFinished(const platform::WriteResult& result,
                                  std::size_t parts,
                                  base::Micros took,
@@ -52,11 +56,11 @@
          now < this->single_part_until;
 }
 
-// Where the part of the ownership alone is away, the saves themselves show that
-// the store takes writes.
+// If only the part that holds the ownership row is unavailable, the saves
+// themselves show that the store accepts writes.
 bool SavePolicy::may_write(base::Micros now) const {
   return now - std::max(this->confirmed_at, this->last_answer_at) <
-         kWriteAllowance;
+         kMaxAnswerAge;
 }
 
 bool SavePolicy::is_slow() const {
--- a/entry/save_policy.h
+++ b/entry/save_policy.h
@@ -1,5 +1,5 @@
-// Whether saves go to the store now, and whether each part has a call of its
-// own: from what came of earlier writes. Outcomes go in, answers come out.
+// Decides from the results of earlier writes whether job progress is written to
+// the store now, and whether each write is limited to one part.
 
 #ifndef ENTRY_SAVE_POLICY_H_
 #define ENTRY_SAVE_POLICY_H_
@@ -13,22 +13,24 @@
 
 class SavePolicy {
  public:
-  // `spans_parts`: the store takes one write over several parts.
+  // `spans_parts`: the store accepts a write that covers several parts.
   explicit SavePolicy(bool spans_parts) : can_span_parts(spans_parts) {}
 
-  // A write over so many parts has been answered, or given up, after `took`.
+  // Called when a write to `parts` parts was answered or abandoned, `took`
+  // after it was sent.
   void OnWriteFinished(const platform::WriteResult& result,
                        std::size_t parts,
                        base::Micros took,
                        base::Micros now);
-  // The store confirmed the ownership; `at` is when it was asked.
+  // Called when the store confirmed the ownership; `at` is the send time of the
+  // request.
   void OnOwnershipConfirmed(base::Micros at) { this->confirmed_at = at; }
 
-  // May the next write hold rows of one part only?
+  // Whether the next write is limited to rows of one part.
   bool single_part_only(base::Micros now) const;
-  // Is a write worth its call: has the store taken one lately?
+  // Whether the store has answered recently enough to send it another write.
   bool may_write(base::Micros now) const;
-  // The last save took long.
+  // Whether the last write exceeded the latency threshold.
   bool is_slow() const;
 
  private:
@@ -36,8 +38,8 @@
   base::Micros last_latency{};
   base::Micros single_part_until{};
   base::Micros confirmed_at{};
-  base::Micros
-      last_answer_at{};  // the last write that the store answered in full
+  // When the store last applied a write or rejected it on a condition.
+  base::Micros last_answer_at{};
 };
 
 }  // namespace quartzhoist::entry
--- a/entry/save_policy_test.cc
+++ b/entry/save_policy_test.cc
@@ -1,5 +1,5 @@
-// How saves go to a store of which some parts are away, replayed: the height of
-// demand of a shard, and a store that answers in 8 ms.
+// Simulates saves to a store with some parts unavailable: one shard at peak
+// demand, and a store that answers in 8 ms.
 
 #include <algorithm>
 #include <deque>
@@ -20,12 +20,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// One owner's saves against parts of which some refuse.
+// Saves of one owner to a store whose unavailable parts refuse every write.
 struct SaveSimulation {
   static constexpr base::Micros kStoreLatency = milliseconds(8);
   static constexpr base::Micros kStepTime = milliseconds(10);
   static constexpr base::Micros kRetryDelay = milliseconds(200);
-  static constexpr int kMaxSpanningCalls = 2;  // over several parts
+  static constexpr int kMaxSpanningCalls = 2;  // in flight at once
 
   struct Call {
     base::Micros answered_at{};
@@ -89,7 +89,7 @@
     }
   }
 
-  // Jobs of parts that are there, not saved yet.
+  // Unsaved jobs whose part is available.
   std::ptrdiff_t CountDelayedJobs() const {
     return std::count_if(
         this->unsaved_jobs.begin(), this->unsaved_jobs.end(),
@@ -109,25 +109,25 @@
   int call_count = 0;
 };
 
-// A height of demand: 200 saves a second while a third of the parts is away for
-// 5 s. The ownership is confirmed throughout.
-BOOST_AUTO_TEST_CASE(PartsThatAreAwayHoldUpNoOthers) {
+// Peak demand: 200 saves/s while a third of the parts is unavailable for 5 s.
+// The ownership is confirmed throughout.
+BOOST_AUTO_TEST_CASE(UnavailablePartsDoNotDelayOtherParts) {
   SaveSimulation replay;
   for (int job = 0; job < 3000; job += 3)
     replay.unavailable_parts.insert(
         SaveSimulation::PartOf(std::to_string(job % 61)));
-  std::ptrdiff_t most_held_up = 0;
+  std::ptrdiff_t max_delayed = 0;
   for (int turn = 0; turn < 500; ++turn) {
     replay.policy.OnOwnershipConfirmed(replay.now);
     replay.AddJob();
     replay.AddJob();
     replay.RunStep();
     if (turn > 50)
-      most_held_up = std::max(most_held_up, replay.CountDelayedJobs());
+      max_delayed = std::max(max_delayed, replay.CountDelayedJobs());
   }
   BOOST_TEST(!replay.unavailable_parts.empty());
-  BOOST_TEST(most_held_up < 20);
-  // Back again: few calls soon after.
+  BOOST_TEST(max_delayed < 20);
+  // The parts recover: all saves complete, and writes are batched again.
   replay.unavailable_parts.clear();
   for (int turn = 0; turn < 300; ++turn) {
     replay.policy.OnOwnershipConfirmed(replay.now);
@@ -137,8 +137,8 @@
   BOOST_TEST(!replay.policy.single_part_only(replay.now));
 }
 
-// The part that holds the ownership is away, the jobs' are there.
-BOOST_AUTO_TEST_CASE(SavesGoOnWhileOnlyTheOwnershipsPartIsAway) {
+// The part of the ownership row is unavailable, the parts of the jobs are not.
+BOOST_AUTO_TEST_CASE(SavesContinueWhileOwnershipPartIsUnavailable) {
   SaveSimulation replay;
   replay.policy.OnOwnershipConfirmed(replay.now);
   for (int turn = 0; turn < 500; ++turn) {
@@ -148,8 +148,8 @@
   BOOST_TEST(replay.CountDelayedJobs() < 20);
 }
 
-// All of it is away: after 1.2 s nothing is asked of it any more.
-BOOST_AUTO_TEST_CASE(StoreThatIsAwayIsNotFlooded) {
+// Every part is unavailable: no call is sent after 1.2 s.
+BOOST_AUTO_TEST_CASE(UnavailableStoreIsNotFlooded) {
   SaveSimulation replay;
   for (int job = 0; job < 3000; ++job)
     replay.unavailable_parts.insert(
@@ -167,7 +167,7 @@
   BOOST_TEST(replay.call_count == calls);
 }
 
-// A store that is only asked too often is not asked more often for that.
+// Splitting a throttled write would send more calls to an overloaded store.
 BOOST_AUTO_TEST_CASE(ThrottledWritesAreNotSplit) {
   SavePolicy policy(true);
   policy.OnWriteFinished({.outcome = WriteOutcome::kNotDone, .throttled = true},
