--- a/entry/save_queue.cc
+++ b/entry/save_queue.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// A row saved is a condition and a put; a job that is over loses its other row.
+// A saved row takes a condition and a put; for a finished job, its other row is
+// removed as well.
 std::size_t EntryCount(const scheduler::SaveProgress& save) {
   return save.over ? 3 : 2;
 }
@@ -37,8 +38,8 @@
   return batch;
 }
 
-// Parts take turns: a write begins with the part after the last one's, so that
-// none waits for ever while others always have something.
+// Serves the parts round-robin, starting after the last written one, so that no
+// part starves while others always have saves queued.
 std::vector<scheduler::SaveProgress> SaveQueue::Take(bool single_part) {
   if (!this->unbatched.empty() &&
       !this->parts_in_flight.contains(PartOf(this->unbatched.front())))
@@ -50,17 +51,17 @@
     if (next == this->saves_by_part.end())
       next = this->saves_by_part.begin();
     const std::string part = next->first;
-    Saves& waiting = next->second;
-    const bool may_go = !single_part || !this->parts_in_flight.contains(part);
-    while (may_go && !waiting.empty() &&
-           room.Take(part, EntryCount(waiting.front()),
-                     waiting.front().text.size())) {
-      batch.push_back(std::move(waiting.front()));
-      waiting.pop_front();
+    Saves& queued = next->second;
+    const bool can_send = !single_part || !this->parts_in_flight.contains(part);
+    while (can_send && !queued.empty() &&
+           room.Take(part, EntryCount(queued.front()),
+                     queued.front().text.size())) {
+      batch.push_back(std::move(queued.front()));
+      queued.pop_front();
       this->parts_in_flight.insert(part);
       this->last_written_part = part;
     }
-    next = waiting.empty() ? this->saves_by_part.erase(next) : std::next(next);
+    next = queued.empty() ? this->saves_by_part.erase(next) : std::next(next);
     if (single_part && !batch.empty())
       break;
   }
--- a/entry/save_queue.h
+++ b/entry/save_queue.h
@@ -1,4 +1,4 @@
-// Jobs' progress that waits to be written, and which of it goes into one write.
+// Queues job progress to be written, and groups it into batched writes.
 
 #ifndef ENTRY_SAVE_QUEUE_H_
 #define ENTRY_SAVE_QUEUE_H_
@@ -17,13 +17,15 @@
 class SaveQueue {
  public:
   void Add(scheduler::SaveProgress save);
-  // It is written alone from now on: the write that it shared was refused.
+  // For a save whose batched write was refused; it is retried in a write of its
+  // own.
   void AddUnbatched(scheduler::SaveProgress save);
 
-  // The next write's saves, at most one write's worth; none if nothing may go.
-  // With `single_part` they are of one part that has no write on its way.
+  // Removes the saves of the next write, at most one write's capacity; empty if
+  // no save can be sent. With `single_part`, all belong to one part that has no
+  // write in flight.
   std::vector<scheduler::SaveProgress> Take(bool single_part);
-  // The write of these has been answered, or given up.
+  // Called when the write of `batch` was answered or abandoned.
   void OnWriteFinished(const std::vector<scheduler::SaveProgress>& batch);
 
   bool empty() const {
@@ -35,10 +37,10 @@
 
   std::vector<scheduler::SaveProgress> TakeUnbatched();
 
-  std::map<std::string, Saves> saves_by_part;  // none of them empty
+  std::map<std::string, Saves> saves_by_part;  // no value is empty
   Saves unbatched;
-  std::set<std::string> parts_in_flight;  // parts with a write on its way
-  std::string last_written_part;          // the next write begins after it
+  std::set<std::string> parts_in_flight;
+  std::string last_written_part;  // the next write starts after this part
 };
 
 }  // namespace quartzhoist::entry
--- a/entry/save_queue_test.cc
+++ b/entry/save_queue_test.cc
@@ -1,4 +1,4 @@
-// Which progress goes into one write.
+// Tests how saves are grouped into writes.
 
 #include <set>
 #include <string>
@@ -17,7 +17,7 @@
   return {.job = job, .text = "t", .version = 1, .change = 1, .over = false};
 }
 
-BOOST_AUTO_TEST_CASE(SavesOfOnePartGoTogetherAndOneAtATime) {
+BOOST_AUTO_TEST_CASE(SinglePartWritesAreBatchedAndOneInFlightPerPart) {
   SaveQueue queue;
   for (int i = 0; i < 200; ++i)
     queue.Add(SaveOf(std::to_string(i)));
@@ -37,7 +37,7 @@
   }
   BOOST_TEST(taken == 200U);
   BOOST_TEST(queue.empty());
-  // What comes for a part with a write on its way waits for its answer.
+  // A new save waits for the answer to the write in flight to its part.
   queue.Add(SaveOf("0"));
   BOOST_TEST(queue.Take(true).empty());
   for (const auto& batch : writes)
@@ -55,7 +55,7 @@
   BOOST_TEST(queue.empty());
 }
 
-BOOST_AUTO_TEST_CASE(SaveWhoseWriteWasRefusedGoesAlone) {
+BOOST_AUTO_TEST_CASE(UnbatchedSaveIsSentFirstAndAlone) {
   SaveQueue queue;
   queue.Add(SaveOf("1"));
   queue.AddUnbatched(SaveOf("2"));
