--- a/entry/save_result.cc
+++ b/entry/save_result.cc
@@ -8,9 +8,10 @@
 
 namespace {
 
-// What another writer recorded. The scheduler takes it in before it writes the
-// row again: ends that an earlier owner has saved, and let its workers forget,
-// stand nowhere else. Nothing if the row is gone or cannot be read.
+// The progress that another writer stored. The scheduler must merge it before
+// it writes the row again: task ends that an earlier owner saved and
+// acknowledged to the workers are recorded nowhere else. Empty if the row is
+// missing or malformed.
 std::optional<jobs::Progress> DecodeStoredProgress(const platform::Row& row) {
   const std::optional<KeptProgress> kept = DecodeKept(row.value);
   std::optional<jobs::Progress> stored;
@@ -34,7 +35,8 @@
       break;
     case platform::WriteOutcome::kConflict:
       saved.version = stored_row ? stored_row->version : 0;
-      // An earlier try whose answer was lost wrote just this.
+      // The row holds this very text: an earlier attempt wrote it, and its
+      // answer was lost.
       if (stored_row && stored_row->value == save.text) {
         saved.outcome = scheduler::SaveOutcome::kSaved;
         break;
--- a/entry/save_result.h
+++ b/entry/save_result.h
@@ -1,4 +1,4 @@
-// What came of a save of a job's progress, as the scheduler is told.
+// Converts the result of a store write into the save result for the scheduler.
 
 #ifndef ENTRY_SAVE_RESULT_H_
 #define ENTRY_SAVE_RESULT_H_
@@ -9,7 +9,7 @@
 
 namespace quartzhoist::entry {
 
-// `stored_row`: the job's row as a conflict showed it, or null.
+// `stored_row`: the job's row that the conflict returned, or null.
 scheduler::SaveResult MakeSaveResult(const scheduler::SaveProgress& save,
                                      const platform::WriteResult& result,
                                      const platform::Row* stored_row);
--- a/entry/save_result_test.cc
+++ b/entry/save_result_test.cc
@@ -1,4 +1,4 @@
-// What the scheduler is told of a save.
+// Tests the save results that the scheduler receives.
 
 #include <string>
 
@@ -13,7 +13,7 @@
 
 constexpr const char* kJob = "5c0e7a21d94b36f8";
 
-jobs::Progress OneDone() {
+jobs::Progress ProgressWithOneDone() {
   jobs::Progress progress;
   progress.state = jobs::JobState::kRunning;
   progress.MarkDone({.occurrence = 0, .step = 0}, 3);
@@ -37,22 +37,22 @@
 const platform::WriteResult kConflict{.outcome =
                                           platform::WriteOutcome::kConflict};
 
-// An owner that has been taken over saves an end and lets its worker forget it;
-// the next one, which had read the row before, must hear of it.
-BOOST_AUTO_TEST_CASE(ConflictTellsWhatAnotherOwnerRecorded) {
+// A deposed owner saves a task end and acknowledges it to the worker. The new
+// owner read the row before that, so it must get the end from the conflict.
+BOOST_AUTO_TEST_CASE(ConflictReturnsProgressOfAnotherOwner) {
   const platform::Row there =
-      RowOf(EncodeKept({.text = jobs::EncodeProgress(OneDone())}));
+      RowOf(EncodeKept({.text = jobs::EncodeProgress(ProgressWithOneDone())}));
   const scheduler::SaveResult result =
       MakeSaveResult(Save(), kConflict, &there);
   BOOST_CHECK(result.outcome == scheduler::SaveOutcome::kConflict);
   BOOST_TEST(result.version == 12U);
   BOOST_REQUIRE(result.stored.has_value());
-  BOOST_CHECK(result.stored->done == OneDone().done);
-  BOOST_CHECK(result.stored->placed == OneDone().placed);
+  BOOST_CHECK(result.stored->done == ProgressWithOneDone().done);
+  BOOST_CHECK(result.stored->placed == ProgressWithOneDone().placed);
   BOOST_CHECK(result.stored->state == jobs::JobState::kRunning);
 }
 
-BOOST_AUTO_TEST_CASE(ConflictWithAnOwnEarlierTryIsASave) {
+BOOST_AUTO_TEST_CASE(ConflictWithOwnEarlierAttemptIsSaved) {
   const platform::Row there = RowOf(Save().text);
   const scheduler::SaveResult result =
       MakeSaveResult(Save(), kConflict, &there);
@@ -60,10 +60,10 @@
   BOOST_TEST(result.version == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(ConflictWithARowThatIsGoneOrUnreadableTellsNothing) {
-  const platform::Row unreadable = RowOf("nonsense that is no progress at all");
+BOOST_AUTO_TEST_CASE(ConflictWithMissingOrMalformedRowReturnsNoProgress) {
+  const platform::Row malformed = RowOf("nonsense that is no progress at all");
   for (const platform::Row* there :
-       {static_cast<const platform::Row*>(nullptr), &unreadable}) {
+       {static_cast<const platform::Row*>(nullptr), &malformed}) {
     const scheduler::SaveResult result =
         MakeSaveResult(Save(), kConflict, there);
     BOOST_CHECK(result.outcome == scheduler::SaveOutcome::kConflict);
--- a/entry/wave_records.cc
+++ b/entry/wave_records.cc
@@ -17,13 +17,14 @@
 using std::chrono::seconds;
 
 constexpr base::Micros kRetryInterval = milliseconds(500);
-// How often an owner looks whether other shards are done with an open wave: it
-// takes up their share that much later. A box is away for 2 s (upkeep_s).
+// How often an owner reads whether other shards have completed an open wave; it
+// takes over their share with up to this delay. A box is unavailable for 2 s
+// during upkeep (upkeep_s).
 constexpr base::Micros kReadInterval = seconds(1);
 constexpr std::string_view kDoneSuffix = "!done";
 
-// A row of kWaveTable: the boxes of the wave that have begun, or that the shard
-// is done with it.
+// Key of a row of kWaveTable, which lists the boxes whose upkeep has begun, or
+// marks the wave as completed by the shard.
 struct WaveKey {
   int wave = 0;
   bool is_done = false;
@@ -104,7 +105,7 @@
     this->WriteStatus(report.wave, scheduler::WaveState::kRunning);
 }
 
-// For a later owner. Without a condition: the list only grows.
+// Read by a later owner. Unconditional, because the list only grows.
 void WaveRecords::WriteStartedBoxes(const scheduler::ReportWave& report) const {
   const platform::WriteBatch write{
       .conditions = {},
@@ -115,7 +116,8 @@
   this->store.Write(write, [](const platform::WriteResult&) {});
 }
 
-// The other shards take up this one's share only by this row, which is final.
+// The other shards take over this shard's share only after reading this row,
+// which is final.
 void WaveRecords::WriteDone(const scheduler::ReportWave& report) {
   const platform::WriteBatch write{
       .conditions = {},
@@ -151,8 +153,8 @@
   this->WriteStatus(wave, scheduler::WaveState::kCompleted);
 }
 
-// For the operators. A late `running` cannot replace `completed`: it must find
-// no status.
+// Publishes the status for operators. `running` is written only if there is no
+// status row, so that a late write cannot replace `completed`.
 void WaveRecords::WriteStatus(int wave, scheduler::WaveState state) {
   Record& record = this->records[wave];
   if (record.status_write_in_flight)
--- a/entry/wave_records.h
+++ b/entry/wave_records.h
@@ -1,6 +1,6 @@
-// What a shard's owner keeps in the store of the waves, and what it learns of
-// the other shards there: which boxes' upkeep has begun, which shards are done,
-// and what the operators are told.
+// Store records of maintenance waves, as the owner of a shard writes and reads
+// them: the boxes whose upkeep has begun, the shards that have completed a
+// wave, and the status published to operators.
 
 #ifndef ENTRY_WAVE_RECORDS_H_
 #define ENTRY_WAVE_RECORDS_H_
@@ -22,8 +22,9 @@
 
 class WaveRecords {
  public:
-  // `on_share` is called when what this shard may have away has changed, or a
-  // wave is new; `begun` are boxes whose upkeep an earlier owner saw begin.
+  // `on_share` is called for a new wave, and when this shard's share of boxes
+  // that may be unavailable at once has changed; `begun` are the boxes whose
+  // upkeep began under an earlier owner.
   WaveRecords(
       platform::Store& store,
       const Shard& shard,
@@ -33,24 +34,24 @@
   WaveRecords(const WaveRecords&) = delete;
   WaveRecords& operator=(const WaveRecords&) = delete;
 
-  // What the store holds at the beginning; waves are kept back until then.
+  // Loads the stored rows at takeover; `on_share` is not called before.
   void Load(const std::vector<platform::Row>& kept, base::Micros now);
   void AddWave(const scheduler::Wave& wave);
   void Report(const scheduler::ReportWave& report);
-  // Writes again what could not be written, and looks at the other shards.
+  // Retries failed writes and reads the records of the other shards.
   void Poll(base::Micros now);
 
  private:
   struct Record {
-    scheduler::Wave wave;  // whole, once it is known
+    scheduler::Wave wave;  // of all shards; set if has_wave
     bool has_wave = false;
-    std::vector<std::string> started_boxes;  // by earlier owners
-    std::set<int> done_shards;               // shards
+    std::vector<std::string> started_boxes;  // under earlier owners
+    std::set<int> done_shards;               // numbers of shards
     std::vector<scheduler::ReportWave> unwritten_reports;
-    bool reported = false;  // this shard has begun, or is done
+    bool reported = false;  // this shard has begun or completed
     bool running_written = false;
     bool completed_written = false;
-    bool status_write_in_flight = false;  // a write of its state is on its way
+    bool status_write_in_flight = false;
   };
 
   void ApplyRow(const platform::Row& row);
@@ -69,12 +70,12 @@
   std::function<void(const scheduler::Wave& share,
                      const std::vector<std::string>& begun)>
       on_share_changed;
-  std::map<int, Record> records;  // by the wave's number
+  std::map<int, Record> records;  // by wave number
   bool is_loaded = false;
   bool read_in_flight = false;
   base::Micros next_retry{};
   base::Micros next_read{};
-  // Calls still on their way when this is destroyed find it unset.
+  // Cleared on destruction, so that callbacks of calls in flight do nothing.
   std::shared_ptr<bool> alive;
 };
 
--- a/entry/wave_records_test.cc
+++ b/entry/wave_records_test.cc
@@ -1,4 +1,5 @@
-// What owners keep of waves, and learn of one another there.
+// Tests how the owners of shards record waves and learn of each other's
+// progress.
 
 #include <memory>
 #include <string>
@@ -27,7 +28,7 @@
   return wave;
 }
 
-// The owner of a shard, and what it may have away by now.
+// The owner of a shard, and its current share of the wave.
 struct Owner {
   Owner(StoreBench& bench, int number)
       : records(bench.store,
@@ -53,7 +54,7 @@
   WaveRecords records;
 };
 
-// The owners of both shards, who have read an empty store.
+// The owners of both shards, which have loaded an empty store.
 struct TwoOwners : StoreBench {
   TwoOwners() {
     this->first.Begin({});
@@ -80,8 +81,8 @@
   return text.find(part) != std::string::npos;
 }
 
-// The wave is completed for the operators when both shards are done; the first
-// to be done leaves its share to the other.
+// The published status becomes `completed` when both shards are done; the share
+// of the first one to complete passes to the other.
 BOOST_AUTO_TEST_CASE(WaveIsCompletedWhenAllShardsAre) {
   TwoOwners bench;
   BOOST_TEST(bench.first.share.most_at_once + bench.second.share.most_at_once ==
@@ -100,8 +101,9 @@
   }));
 }
 
-// What an owner saw begin, and that another shard is done, a later owner reads.
-BOOST_AUTO_TEST_CASE(LaterOwnerLearnsWhatHasBegunAndWhoIsDone) {
+// A later owner reads the boxes whose upkeep began under an earlier one, and
+// the shards that have completed the wave.
+BOOST_AUTO_TEST_CASE(LaterOwnerReadsStartedBoxesAndDoneShards) {
   TwoOwners bench;
   bench.first.Report(scheduler::WaveState::kCompleted);
   bench.second.Report(scheduler::WaveState::kRunning);
