--- a/jobs/job.cc
+++ b/jobs/job.cc
@@ -14,9 +14,10 @@
           .gpus = a.gpus - b.gpus};
 }
 
-bool Fits(const Resources& wanted, const Resources& room) {
-  return wanted.cpu_millis <= room.cpu_millis &&
-         wanted.memory_mb <= room.memory_mb && wanted.gpus <= room.gpus;
+bool Fits(const Resources& request, const Resources& available) {
+  return request.cpu_millis <= available.cpu_millis &&
+         request.memory_mb <= available.memory_mb &&
+         request.gpus <= available.gpus;
 }
 
 }  // namespace quartzhoist::jobs
--- a/jobs/job.h
+++ b/jobs/job.h
@@ -1,4 +1,4 @@
-// What callers hand in: a job of steps, each of equal tasks.
+// Jobs as submitted by callers: steps, each consisting of identical tasks.
 
 #ifndef JOBS_JOB_H_
 #define JOBS_JOB_H_
@@ -12,7 +12,7 @@
 
 namespace quartzhoist::jobs {
 
-// What a task takes of a worker, or a worker has.
+// Resources that a task requires, or that a worker provides.
 struct Resources {
   std::int64_t cpu_millis = 0;  // thousandths of a core
   std::int64_t memory_mb = 0;
@@ -23,33 +23,33 @@
 
 Resources operator+(const Resources& a, const Resources& b);
 Resources operator-(const Resources& a, const Resources& b);
-bool Fits(const Resources& wanted, const Resources& room);
+bool Fits(const Resources& request, const Resources& available);
 
 struct Step {
   std::int64_t tasks = 1;
   Resources task_resources;
-  std::int64_t estimate_ms = 0;  // the caller's guess of one task's run time
-  std::vector<int> depends_on;   // steps whose tasks must all be done first
-  bool checkpoints = false;      // progress is saved and can be resumed
-  bool gang = false;             // the tasks work only together
-  bool rack_local = false;       // a gang is slower over several racks
-  bool allows_speculative_runs = false;  // two runs of one task may overlap
+  std::int64_t estimate_ms = 0;  // caller's estimate of a task's run time
+  std::vector<int> depends_on;   // steps that must be completed first
+  bool checkpoints = false;      // a task can resume from saved progress
+  bool gang = false;             // all tasks must run at the same time
+  bool rack_local = false;       // a gang runs slower across racks
+  bool allows_speculative_runs = false;  // runs of a task may overlap
   bool long_running = false;             // runs until the job is cancelled
-  bool fills = false;  // takes only processor time left by others
-  std::string label;   // the worker must have it; empty: any worker
-  std::string rack;    // the data lies there; slower elsewhere
-  std::int64_t max_per_worker = 0;   // tasks of the step; 0: no limit
-  std::string image;                 // what the tasks run
-  std::int64_t max_unavailable = 0;  // lasting: tasks we may interrupt at once
-  std::int64_t target_ms = 0;        // lasting: bound of the users' tail time
+  bool fills = false;  // best effort: uses only leftover CPU time
+  std::string label;   // required of the worker; empty: any worker
+  std::string rack;    // where the data is; tasks run slower elsewhere
+  std::int64_t max_per_worker = 0;   // tasks of this step; 0: no limit
+  std::string image;                 // image that the tasks run
+  std::int64_t max_unavailable = 0;  // long-running: max interrupted at once
+  std::int64_t target_ms = 0;        // long-running: bound on tail latency
 };
 
 struct JobSpec {
-  std::string text;  // handed to the tasks as it came
+  std::string text;  // passed to the tasks unchanged
   std::vector<Step> steps;
-  std::int64_t repeat_count = 0;  // 0: runs once, at once
-  std::int64_t start_at_ms = 0;   // since 1970; the first repeat's time
-  std::int64_t interval_ms = 0;   // between two repeats
+  std::int64_t repeat_count = 0;  // 0: runs once, immediately
+  std::int64_t start_at_ms = 0;   // Unix time of the first occurrence
+  std::int64_t interval_ms = 0;   // between occurrences
 
   std::int64_t occurrences() const {
     return this->repeat_count > 0 ? this->repeat_count : 1;
@@ -71,7 +71,7 @@
          state == JobState::kCancelled;
 }
 
-// Names one task: the job, which repeat of it, the step, and which task.
+// Identifies a task by job, occurrence, step and index.
 struct TaskId {
   std::string job;
   int occurrence = 0;
--- a/jobs/jobs_test.cc
+++ b/jobs/jobs_test.cc
@@ -1,4 +1,4 @@
-// Records of jobs and the configuration of queues.
+// Tests stored job progress, queue routing and worker incarnations.
 
 #include <algorithm>
 #include <string>
@@ -44,14 +44,14 @@
          a.placed == b.placed;
 }
 
-RC_BOOST_PROP(ProgressIsReadAsItWasWritten, ()) {
+RC_BOOST_PROP(ProgressRoundTrips, ()) {
   const Progress progress = DrawProgress();
   const auto read = DecodeProgress(EncodeProgress(progress));
   RC_ASSERT(read.has_value());
   RC_ASSERT(Same(*read, progress));
 }
 
-RC_BOOST_PROP(MergedProgressHoldsWhatEachKnew, ()) {
+RC_BOOST_PROP(MergedProgressContainsBothInputs, ()) {
   const Progress a = DrawProgress();
   const Progress b = DrawProgress();
   const Progress merged = Merge(a, b);
@@ -70,7 +70,7 @@
   RC_ASSERT(Same(Merge(merged, a), merged));
 }
 
-BOOST_AUTO_TEST_CASE(FailedRunThatIsToldTwiceCountsOnce) {
+BOOST_AUTO_TEST_CASE(FailedRunReportedTwiceCountsOnce) {
   Progress progress;
   const TaskKey task{.step = {.occurrence = 0, .step = 0}, .index = 3};
   progress.MarkFailed(task, 1);
@@ -79,7 +79,7 @@
   BOOST_TEST(progress.FailureCount(task) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(FailedRunThatIsToldAfterALaterOneCounts) {
+BOOST_AUTO_TEST_CASE(FailedRunReportedAfterALaterOneCounts) {
   Progress progress;
   const TaskKey task{.step = {.occurrence = 0, .step = 0}, .index = 3};
   progress.MarkFailed(task, 1002);
@@ -87,7 +87,7 @@
   BOOST_TEST(progress.FailureCount(task) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(FailedRunsOfTwoWritersAddUp) {
+BOOST_AUTO_TEST_CASE(MergeCombinesFailedRunsOfTwoWriters) {
   const TaskKey task{.step = {.occurrence = 0, .step = 0}, .index = 0};
   Progress earlier;
   earlier.MarkFailed(task, 1001);
@@ -98,7 +98,7 @@
   BOOST_TEST(Merge(later, earlier).FailureCount(task) == 3);
 }
 
-BOOST_AUTO_TEST_CASE(LossesOfTwoWritersAddUpAndACrashStaysOne) {
+BOOST_AUTO_TEST_CASE(MergeCombinesLossesAndKeepsCrashes) {
   const TaskKey task{.step = {.occurrence = 0, .step = 1}, .index = 2};
   Progress earlier;
   earlier.MarkLost(task, {.id = "a"},
@@ -117,7 +117,7 @@
   BOOST_CHECK(Merge(earlier, later).losses.at(task) == both);
 }
 
-BOOST_AUTO_TEST_CASE(LossesAreKeptUntilTheirTaskIsDone) {
+BOOST_AUTO_TEST_CASE(LossesAreStoredUntilTheTaskIsDone) {
   const TaskKey task{.step = {.occurrence = 0, .step = 1}, .index = 2};
   Progress progress;
   progress.MarkLost(
@@ -132,7 +132,7 @@
   BOOST_TEST(Merge(progress, kept).last_tries.empty());
 }
 
-BOOST_AUTO_TEST_CASE(TaskThatIsDoneIsNotPlacedAnyMore) {
+BOOST_AUTO_TEST_CASE(MarkDoneRemovesPlacement) {
   Progress progress;
   const TaskKey task{.step = {.occurrence = 0, .step = 0}, .index = 3};
   progress.placed[task] = {.worker = {.id = "w"}, .run = 1};
@@ -140,7 +140,7 @@
   BOOST_TEST(progress.placed.empty());
 }
 
-BOOST_AUTO_TEST_CASE(MalformedProgressIsNotRead) {
+BOOST_AUTO_TEST_CASE(MalformedProgressIsRejected) {
   for (const char* text :
        {"", "x", "[]", "{}", R"({"state":7})", R"({"state":"unheard"})",
         R"({"state":"queued","done":{"1":"#"}})",
@@ -175,7 +175,7 @@
   BOOST_TEST(!config.Route("c.example", "/x/1"));
 }
 
-BOOST_AUTO_TEST_CASE(LivesOfOneWorkerAreToldApart) {
+BOOST_AUTO_TEST_CASE(IncarnationsOfOneWorkerAreDistinguished) {
   const WorkerIncarnation first{.id = "i-1", .start_ms = 1'700'000'000'000};
   const WorkerIncarnation next{.id = "i-1", .start_ms = 1'700'000'000'001};
   BOOST_TEST(next.IsAfter(first));
@@ -189,7 +189,7 @@
               WorkerIncarnation{.id = "i-1@x"});
 }
 
-BOOST_AUTO_TEST_CASE(RowsWithoutStartsOfWorkersAreRead) {
+BOOST_AUTO_TEST_CASE(RowsWithoutIncarnationStartAreAccepted) {
   const auto kept = DecodeProgress(
       R"({"state":"running","placed":{"0.0.1":["i-1",4]},)"
       R"("stopping":{"0.0.2":["i-2",3]},"lost":{"0.0.1":{"i-3":[2,"b","c"]}}})");
--- a/jobs/organisation.h
+++ b/jobs/organisation.h
@@ -1,5 +1,5 @@
-// Callers' organisations: the access keys that name them, what each may have
-// running at once, and its share when there is not enough for all.
+// Organisations of callers: their API keys, their quota of concurrently used
+// resources, and their share under contention.
 
 #ifndef JOBS_ORGANISATION_H_
 #define JOBS_ORGANISATION_H_
@@ -14,7 +14,7 @@
 
 namespace quartzhoist::jobs {
 
-// What is kept of an access key: its SHA-256. The key itself is kept nowhere.
+// SHA-256 of an API key. The key itself is not stored.
 struct KeyDigest {
   static constexpr std::size_t kBytes = 32;
 
@@ -22,14 +22,14 @@
 };
 
 KeyDigest ComputeKeyDigest(std::string_view key);
-// In a time that does not depend on where they differ.
+// Compares in constant time.
 bool DigestsAreEqual(const KeyDigest& a, const KeyDigest& b);
 
 struct Organisation {
   std::string name;
   std::vector<KeyDigest> keys;
-  double jobs_per_second = 0.0;  // its share when all is full; 0: none is set
-  Resources quota;  // running at once, over all workers; 0: no limit
+  double jobs_per_second = 0.0;  // share under contention; 0: not configured
+  Resources quota;  // in use at once, over all workers; 0: no limit
 };
 
 }  // namespace quartzhoist::jobs
--- a/jobs/progress.cc
+++ b/jobs/progress.cc
@@ -32,7 +32,7 @@
   return bits;
 }
 
-// Whole numbers joined by dots, or nothing.
+// Parses non-negative integers separated by dots; empty if malformed.
 std::optional<std::vector<int>> ParseNumbers(std::string_view text) {
   std::vector<int> numbers;
   const char* at = text.data();
@@ -92,7 +92,8 @@
   return {placement.worker.id, placement.run, placement.worker.start_ms};
 }
 
-// [worker, run, start of the worker's life]; earlier rows have no start.
+// [worker, run, start of the incarnation]; rows of earlier versions lack the
+// start.
 bool DecodePlacements(const Json& row, std::map<TaskKey, Placement>& into) {
   for (const auto& [key, placement] : row.items()) {
     const auto task = ParseTaskKey(key);
@@ -113,7 +114,7 @@
   return true;
 }
 
-// The marks of a loss: a letter for each that is set.
+// A boolean field of a loss, and the letter that is stored if it is set.
 struct LossFlag {
   char letter;
   bool WorkerLoss::*is_set;
@@ -126,14 +127,14 @@
 
 std::string EncodeLossFlags(const WorkerLoss& loss) {
   std::string text;
-  for (const LossFlag& mark : kLossFlags) {
-    if (loss.*mark.is_set)
-      text += mark.letter;
+  for (const LossFlag& flag : kLossFlags) {
+    if (loss.*flag.is_set)
+      text += flag.letter;
   }
   return text;
 }
 
-// [run, box, marks] by life.
+// Maps each incarnation to [run, box, flags].
 bool DecodeLosses(const Json& row, Progress& progress) {
   for (const auto& [key, lives] : row.items()) {
     const auto task = ParseTaskKey(key);
@@ -147,16 +148,16 @@
         return false;
       WorkerLoss loss{.run = entry[0].get<int>(),
                       .box = entry[1].get<std::string>()};
-      const auto marks = entry[2].get<std::string>();
-      for (const LossFlag& mark : kLossFlags)
-        loss.*mark.is_set = marks.find(mark.letter) != std::string::npos;
+      const auto flags = entry[2].get<std::string>();
+      for (const LossFlag& flag : kLossFlags)
+        loss.*flag.is_set = flags.find(flag.letter) != std::string::npos;
       progress.MarkLost(*task, ParseWorkerIncarnation(life), loss);
     }
   }
   return true;
 }
 
-// Of two runs of a task the later one holds.
+// Of two runs of a task the later one wins.
 void MergePlacements(std::map<TaskKey, Placement>& into,
                      const std::map<TaskKey, Placement>& other) {
   for (const auto& [task, placement] : other) {
@@ -166,7 +167,7 @@
   }
 }
 
-// A final state stands; of two others the later one holds.
+// A final state wins; of two other states, the later one.
 JobState MergeStates(JobState a, JobState b) {
   if (IsFinal(a))
     return a;
@@ -205,8 +206,8 @@
     known.run = loss.run;
     known.box = loss.box;
   }
-  for (const LossFlag& mark : kLossFlags)
-    known.*mark.is_set = known.*mark.is_set || loss.*mark.is_set;
+  for (const LossFlag& flag : kLossFlags)
+    known.*flag.is_set = known.*flag.is_set || loss.*flag.is_set;
 }
 
 int Progress::FailureCount(const TaskKey& task) const {
@@ -276,8 +277,9 @@
         merged.MarkDone(step, static_cast<int>(i));
     }
   }
-  // Neither writer need know all: with counts in place of runs, of three failed
-  // runs two owners knew two each, and the task was started a fourth time.
+  // Run numbers are merged rather than counts, because neither writer may know
+  // all runs: with counts, two owners that knew two each of three failed runs
+  // started the task a fourth time.
   for (const auto& [task, runs] : b.failures)
     merged.failures[task].insert(runs.begin(), runs.end());
   for (const auto& [task, runs] : b.last_tries) {
@@ -286,7 +288,7 @@
   }
   MergePlacements(merged.placed, b.placed);
   MergePlacements(merged.stopping, b.stopping);
-  // Each of two owners may have seen another worker go.
+  // The two owners may have seen different workers being lost.
   for (const auto& [task, lives] : b.losses) {
     for (const auto& [life, loss] : lives)
       merged.MarkLost(task, life, loss);
--- a/jobs/progress.h
+++ b/jobs/progress.h
@@ -1,5 +1,5 @@
-// What is kept of a job's progress: its state, the tasks that are done, and
-// how often others failed. Its row is rewritten as ends come in.
+// Stored progress of a job: its state, which tasks are done, and the failed
+// runs of the others. The row is rewritten as tasks end.
 
 #ifndef JOBS_PROGRESS_H_
 #define JOBS_PROGRESS_H_
@@ -18,7 +18,7 @@
 
 namespace quartzhoist::jobs {
 
-// One step of one repeat.
+// A step of one occurrence of a repeated job.
 struct StepKey {
   int occurrence = 0;
   int step = 0;
@@ -30,7 +30,6 @@
   }
 };
 
-// One task of a step.
 struct TaskKey {
   StepKey step;
   int index = 0;
@@ -42,12 +41,12 @@
   }
 };
 
-// Runs of a task by number: one that is told twice counts once, and one that is
-// told after a later one counts too.
+// Run numbers of a task. A set, so that a run reported twice counts once and
+// one reported after a later run still counts.
 using RunNumbers = std::set<int>;
 
-// Where a run of a task was placed: recorded before the worker is told, so that
-// a later owner knows which worker to ask about the task.
+// The worker that a run of a task was assigned to. Stored before the run is
+// sent to the worker, so that a later owner knows which worker to query.
 struct Placement {
   WorkerIncarnation worker;
   int run = 0;
@@ -55,14 +54,14 @@
   bool operator==(const Placement&) const = default;
 };
 
-// A worker's life that was lost while a run of the task may have been at work
-// there.
+// The loss of a worker incarnation that may have been executing a run of the
+// task.
 struct WorkerLoss {
   int run = 0;
-  std::string box;                // empty: not known
-  bool has_crashed = false;       // else it is silent, and may answer again
-  bool was_sole_suspect = false;  // nothing else there was suspected of a crash
-  bool start_confirmed = false;   // the worker had said that it started the run
+  std::string box;                // empty: unknown
+  bool has_crashed = false;       // else it stopped answering, and may return
+  bool was_sole_suspect = false;  // no other run there was suspected
+  bool start_confirmed = false;   // the worker had reported the run as started
 
   bool operator==(const WorkerLoss&) const = default;
 };
@@ -71,38 +70,38 @@
 struct Progress {
   JobState state = JobState::kQueued;
   std::map<StepKey, std::vector<bool>> done;
-  std::map<TaskKey, RunNumbers> failures;  // none of them empty
+  std::map<TaskKey, RunNumbers> failures;  // no value is empty
   std::map<TaskKey, Placement> placed;     // tasks that are not done
-  // Runs that were told to stop when their task was done elsewhere: they take
-  // room until they have ended, and a worker may list them nowhere meanwhile.
+  // Runs ordered to stop because their task was done elsewhere. They occupy
+  // resources until they end, and may be missing from the worker's listing.
   std::map<TaskKey, Placement> stopping;
   std::map<TaskKey, WorkerLosses> losses;  // of tasks that are not done
-  // Runs that were placed though many workers had been lost under the task.
-  std::map<TaskKey, RunNumbers> last_tries;  // none of them empty
+  // Runs placed although many workers had been lost while executing the task.
+  std::map<TaskKey, RunNumbers> last_tries;  // no value is empty
 
   bool IsDone(const StepKey& step, int index) const;
-  // Nothing of the job runs or will.
+  // Whether no task of the job runs or will run.
   bool IsOver() const {
     return IsFinal(this->state) && this->placed.empty() &&
            this->stopping.empty();
   }
   void MarkDone(const StepKey& step, int index);
   void MarkFailed(const TaskKey& task, int run);
-  // What is marked of a life stays so, whoever tells of it again.
+  // Flags set for an incarnation are kept when its loss is reported again.
   void MarkLost(const TaskKey& task,
                 const WorkerIncarnation& life,
                 const WorkerLoss& loss);
-  // How many of its runs have failed.
+  // The number of failed runs of the task.
   int FailureCount(const TaskKey& task) const;
 };
 
 std::string EncodeProgress(const Progress& progress);
-// Nothing if the text is not of this form.
+// Empty if the text is malformed.
 std::optional<Progress> DecodeProgress(std::string_view text);
 
-// What two writers know together: both record facts, so a task done for one is
-// done, a run that failed for one has failed, and of two placements the later
-// run holds.
+// Combines the progress recorded by two writers. Both record facts: a task that
+// is done or a run that failed for either is so in the result, and of two
+// placements of a task the later run wins.
 Progress Merge(const Progress& a, const Progress& b);
 
 }  // namespace quartzhoist::jobs
--- a/jobs/queue.cc
+++ b/jobs/queue.cc
@@ -26,7 +26,7 @@
   return nullptr;
 }
 
-// Every key is looked at, whichever matches.
+// Compares all keys, so that the time does not depend on which one matches.
 const Organisation* Config::FindOrganisationByKey(const KeyDigest& key) const {
   const Organisation* holder = nullptr;
   for (const Organisation& organisation : this->organisations) {
--- a/jobs/queue.h
+++ b/jobs/queue.h
@@ -1,4 +1,4 @@
-// What operators configure for jobs: queues, services and limits.
+// Configuration of queues, services and limits.
 
 #ifndef JOBS_QUEUE_H_
 #define JOBS_QUEUE_H_
@@ -13,11 +13,11 @@
 
 namespace quartzhoist::jobs {
 
-// How the workers that may run a step are learned, where that is not free.
+// Cost and validity of a call that asks a service which workers may run a step.
 struct AdviceConfig {
-  base::Micros time_per_call{};    // the service's time for a call
-  base::Micros time_per_worker{};  // and for each worker named in it
-  base::Micros time_to_live{};     // how long an answer holds
+  base::Micros time_per_call{};    // time a call takes the service
+  base::Micros time_per_worker{};  // additional time for each worker named
+  base::Micros time_to_live{};     // how long an answer is valid
   bool required = false;
 };
 
@@ -25,13 +25,13 @@
   std::string name;
   std::string host;
   std::string path_prefix;
-  std::string service;            // whose workers run the tasks
-  int priority = 0;               // 0 goes first
+  std::string service;            // provides the workers
+  int priority = 0;               // 0 is the highest
   int attempts = 1;               // failed runs of a task before its job fails
-  double extension = 1.0;         // objective: times the longest chain of work
-  base::Micros target_latency{};  // objective: added to that
+  double extension = 1.0;         // objective: factor of the critical path
+  base::Micros target_latency{};  // objective: added to the above
   AdviceConfig advice;
-  bool auth_exempt = false;  // its callers need no access key
+  bool auth_exempt = false;  // callers need no API key
 
   bool operator==(const Queue& other) const {
     return this->name == other.name && this->service == other.service &&
@@ -39,28 +39,28 @@
   }
 };
 
-// Whose workers form a pool.
+// A service, whose workers form a pool.
 struct Service {
   std::string name;
-  bool enforces_capacity = false;  // its workers refuse what does not fit
-  bool spare = false;              // its boxes are off and cost nothing
+  bool enforces_capacity = false;  // its workers refuse tasks that do not fit
+  bool spare = false;  // its boxes are switched off and cost nothing
 };
 
 struct Config {
   std::int64_t version = 0;
   std::vector<Queue> queues;
   std::vector<Service> services;
-  // Where organisations are listed, callers need a key of one of them.
+  // Set if organisations are configured: callers need the API key of one.
   bool requires_api_key = false;
   std::vector<Organisation> organisations;
-  std::size_t max_body_bytes = 262'144;  // bytes of a caller's request
+  std::size_t max_body_bytes = 262'144;  // of a caller's request
 
   const Queue* FindQueue(std::string_view name) const;
   const Service* FindService(std::string_view name) const;
   const Organisation* FindOrganisation(std::string_view name) const;
-  // Whose access key this is, or null.
+  // The organisation that has this API key, or null.
   const Organisation* FindOrganisationByKey(const KeyDigest& key) const;
-  // The queue with this host and the longest prefix of `path`, or null.
+  // The queue of this host with the longest path prefix that matches, or null.
   const Queue* Route(std::string_view host, std::string_view path) const;
 };
 
--- a/jobs/worker_incarnation.h
+++ b/jobs/worker_incarnation.h
@@ -1,4 +1,4 @@
-// One life of a worker's process.
+// Identifies one incarnation of a worker process.
 
 #ifndef JOBS_WORKER_INCARNATION_H_
 #define JOBS_WORKER_INCARNATION_H_
@@ -10,11 +10,11 @@
 
 namespace quartzhoist::jobs {
 
-// A worker may start again under its id. It then holds and knows nothing of
-// before, so that what one life said, or was told, holds for that life alone.
+// A worker may restart under the same id. It then has no state from before, so
+// messages to and from one incarnation apply to that incarnation only.
 struct WorkerIncarnation {
-  std::string id;             // empty: none
-  std::int64_t start_ms = 0;  // its start, since 1970; 0: not known
+  std::string id;             // empty: no worker
+  std::int64_t start_ms = 0;  // start of the process, Unix time; 0: unknown
 
   bool operator==(const WorkerIncarnation&) const = default;
   bool operator<(const WorkerIncarnation& other) const {
@@ -22,20 +22,20 @@
            std::tie(other.id, other.start_ms);
   }
   bool empty() const { return this->id.empty(); }
-  // A later life of the same worker.
+  // Whether this is a later incarnation of the same worker.
   bool IsAfter(const WorkerIncarnation& other) const {
     return this->id == other.id && this->start_ms > other.start_ms;
   }
 };
 
-// Another life than `before` for certain: where a start is not known, the id
-// alone tells.
+// Whether `seen` is certainly not the incarnation `before`. If either start
+// time is unknown, only the ids are compared.
 bool IsDifferentIncarnation(const WorkerIncarnation& before,
                             const WorkerIncarnation& seen);
 
-// ID@START, for keys of records and for the log.
+// ID@START, for record keys and the log.
 std::string FormatWorkerIncarnation(const WorkerIncarnation& life);
-// Also of the earlier form, which is the id alone.
+// Also accepts the earlier format, which is the id alone.
 WorkerIncarnation ParseWorkerIncarnation(std::string_view text);
 
 }  // namespace quartzhoist::jobs
