--- a/entry/box_calls_test.cc
+++ b/entry/box_calls_test.cc
@@ -80,16 +80,16 @@
   Owner first(bench, 1);
   BOOST_REQUIRE(first.Claims());
   BOOST_TEST(first.inherited.empty());
-  first.calls.Ask(
-      scheduler::MoveBox{.box = "a", .pool = "pool", .life = {.id = "a-1"}});
-  first.calls.Ask(
-      scheduler::MaintainBox{.box = "b", .wave = 7, .life = {.id = "b-1"}});
+  first.calls.Ask(scheduler::MoveBox{
+      .box = "a", .pool = "pool", .incarnation = {.id = "a-1"}});
+  first.calls.Ask(scheduler::MaintainBox{
+      .box = "b", .wave = 7, .incarnation = {.id = "b-1"}});
   BOOST_REQUIRE(first.Records(2));
   Owner next(bench, 2);
   BOOST_REQUIRE(next.Claims());
   BOOST_TEST(next.inherited == kBoth);
-  first.calls.Ask(
-      scheduler::MaintainBox{.box = "c", .wave = 7, .life = {.id = "c-1"}});
+  first.calls.Ask(scheduler::MaintainBox{
+      .box = "c", .wave = 7, .incarnation = {.id = "c-1"}});
   BOOST_TEST(first.ActUntil([&] { return first.fenced; }));
   BOOST_TEST(first.recorded.size() == 2U);
   // The third knows what the second has not settled.
@@ -103,7 +103,8 @@
   StoreBench bench;
   Owner first(bench, 1);
   BOOST_REQUIRE(first.Claims());
-  first.calls.Ask(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
+  first.calls.Ask(
+      scheduler::MoveBox{.box = "a", .pool = "pool", .incarnation = {}});
   BOOST_REQUIRE(first.Records(1));
   first.is_open = false;
   const platform::RowKey row = SmallRow(kBoxTable, kBoxKey, {});
@@ -122,8 +123,10 @@
   BOOST_REQUIRE(owner.Claims());
   bench.standin.SetNextWrites(
       {Mood::kLosesAnswers, Mood::kBusy, Mood::kCuts, Mood::kLosesAnswers});
-  owner.calls.Ask(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
-  owner.calls.Ask(scheduler::MoveBox{.box = "b", .pool = "pool", .life = {}});
+  owner.calls.Ask(
+      scheduler::MoveBox{.box = "a", .pool = "pool", .incarnation = {}});
+  owner.calls.Ask(
+      scheduler::MoveBox{.box = "b", .pool = "pool", .incarnation = {}});
   BOOST_TEST(owner.Records(2));
   BOOST_TEST(owner.recorded == kBoth);
   BOOST_TEST(!owner.fenced);
@@ -135,7 +138,8 @@
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
   Owner owner(bench, 1);
   BOOST_REQUIRE(owner.Claims());
-  owner.calls.Ask(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
+  owner.calls.Ask(
+      scheduler::MoveBox{.box = "a", .pool = "pool", .incarnation = {}});
   BOOST_TEST(owner.Records(1));
 }
 
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -57,7 +57,7 @@
   limits.max_stop_time = settings.stop_time;
   limits.epoch = epoch;
   limits.fleet = {.move_duration = settings.move_time,
-                  .upkeep_duration = settings.upkeep_time};
+                  .maintenance_duration = settings.upkeep_time};
   return limits;
 }
 
@@ -191,7 +191,7 @@
                                     this->confirmed_at + this->GrantBound());
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
     const std::int64_t deadline = this->scheduler.LeaseDeadline(id, end);
-    const bool wanted = worker.has_listing && worker.is_lease_recorded &&
+    const bool wanted = worker.has_reported && worker.is_lease_recorded &&
                         !worker.idle() && worker.failed_calls == 0 &&
                         deadline > 0;
     if (!wanted)
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -162,11 +162,11 @@
 LeaseRecord Manager::ListWorkers(base::Micros now) const {
   LeaseRecord record{.epoch = this->epoch, .workers = {}};
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
-    if (!worker.has_listing && worker.latest_lease_end <= now)
+    if (!worker.has_reported && worker.latest_lease_end <= now)
       continue;
     record.workers.push_back(
         {.worker = worker.info,
-         .held = worker.has_listing,
+         .held = worker.has_reported,
          .until_store_ms = this->store.StoreMillis(worker.latest_lease_end)});
   }
   return record;
@@ -175,7 +175,8 @@
 Manager::WorkerNames Manager::NamesOf(const LeaseRecord& record) {
   WorkerNames names;
   for (const LeaseHolder& holder : record.workers)
-    (holder.held ? names.held : names.carried).push_back(holder.worker.life);
+    (holder.held ? names.held : names.carried)
+        .push_back(holder.worker.incarnation);
   return names;
 }
 
@@ -294,7 +295,7 @@
                                {"born_ms", id.born_ms},
                                {"box", worker.info.box},
                                {"pool", worker.info.service},
-                               {"listed", worker.has_listing},
+                               {"listed", worker.has_reported},
                                {"failed_calls", worker.failed_calls},
                                {"failure_rate", worker.failure_rate},
                                {"runs", std::move(runs)}});
--- a/entry/tables.cc
+++ b/entry/tables.cc
@@ -182,8 +182,9 @@
   Json list = Json::array();
   for (const LeaseHolder& holder : record.workers) {
     const scheduler::WorkerInfo& worker = holder.worker;
-    list.push_back({worker.life.id, worker.address, worker.box, worker.service,
-                    holder.held, holder.until_store_ms, worker.life.born_ms});
+    list.push_back({worker.incarnation.id, worker.address, worker.box,
+                    worker.service, holder.held, holder.until_store_ms,
+                    worker.incarnation.born_ms});
   }
   return Json{{"epoch", record.epoch}, {"workers", std::move(list)}}.dump();
 }
@@ -195,7 +196,7 @@
     record.epoch = json.at("epoch").get<std::uint64_t>();
     for (const Json& row : json.at("workers")) {
       LeaseHolder holder;
-      holder.worker.life.id = row.at(0).get<std::string>();
+      holder.worker.incarnation.id = row.at(0).get<std::string>();
       holder.worker.address = row.at(1).get<std::string>();
       holder.worker.box = row.at(2).get<std::string>();
       holder.worker.service = row.at(3).get<std::string>();
@@ -203,7 +204,7 @@
       holder.until_store_ms = row.at(5).get<std::int64_t>();
       // Earlier rows have no start.
       if (row.size() > 6)
-        holder.worker.life.born_ms = row.at(6).get<std::int64_t>();
+        holder.worker.incarnation.born_ms = row.at(6).get<std::int64_t>();
       record.workers.push_back(std::move(holder));
     }
     return record;
@@ -216,14 +217,14 @@
   struct Visitor {
     Json operator()(const scheduler::MoveBox& move) const {
       return {{"box", move.box},
-              {"life", move.life.id},
-              {"born", move.life.born_ms},
+              {"life", move.incarnation.id},
+              {"born", move.incarnation.born_ms},
               {"pool", move.pool}};
     }
     Json operator()(const scheduler::MaintainBox& upkeep) const {
       return {{"box", upkeep.box},
-              {"life", upkeep.life.id},
-              {"born", upkeep.life.born_ms},
+              {"life", upkeep.incarnation.id},
+              {"born", upkeep.incarnation.born_ms},
               {"wave", upkeep.wave}};
     }
   };
@@ -245,12 +246,12 @@
           .born_ms = call.value("born", std::int64_t{0})};
       if (call.contains("wave")) {
         record.calls.emplace_back(scheduler::MaintainBox{
-            .box = box, .wave = call["wave"].get<int>(), .life = life});
+            .box = box, .wave = call["wave"].get<int>(), .incarnation = life});
       } else {
         record.calls.emplace_back(
             scheduler::MoveBox{.box = box,
                                .pool = call.at("pool").get<std::string>(),
-                               .life = life});
+                               .incarnation = life});
       }
     }
     return record;
--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -85,14 +85,14 @@
 struct MoveBox {
   std::string box;
   std::string pool;
-  jobs::WorkerLife life;  // on the box at decision time; empty if none
+  jobs::WorkerLife incarnation;  // on the box at decision time; empty if none
   BoxCallContext context;
 };
 
 struct MaintainBox {
   std::string box;
   int wave = 0;
-  jobs::WorkerLife life;  // as above
+  jobs::WorkerLife incarnation;  // as above
   BoxCallContext context;
 };
 
--- a/scheduler/advice.cc
+++ b/scheduler/advice.cc
@@ -26,10 +26,10 @@
 }  // namespace
 
 bool Scheduler::EnsureAdvice(Job& job,
-                             const TaskPosition& place,
+                             const TaskPosition& position,
                              const std::vector<Worker*>& candidates,
                              base::Micros now) {
-  StepState& step_state = StepAt(job, place);
+  StepState& step_state = StepAt(job, position);
   StepAdvice& advice = step_state.advice;
   if (!advice.tickets.empty() && now + kTicketMargin < advice.valid_until)
     return true;
@@ -46,11 +46,11 @@
       std::min(kMaxWorkers, 2 * step_state.tasks.size() + kSpareWorkers);
   asked.resize(std::min(asked.size(), max_count));
   RequestAdvice request{.job = job.id,
-                        .occurrence = place.occurrence,
-                        .step = place.step,
+                        .occurrence = position.occurrence,
+                        .step = position.step,
                         .workers = {}};
   for (const Worker* worker : asked)
-    request.workers.push_back(worker->info.life);
+    request.workers.push_back(worker->info.incarnation);
   advice.in_flight = true;
   advice.requested_at = now;
   this->actions.emplace_back(std::move(request));
@@ -61,11 +61,11 @@
                                const std::optional<Advice>& answer,
                                base::Micros now) {
   Job* job = this->FindJob(asked.job);
-  const TaskPosition place{
+  const TaskPosition position{
       .occurrence = asked.occurrence, .step = asked.step, .index = 0};
-  if (!job || !HasTask(*job, place))
+  if (!job || !HasTask(*job, position))
     return;
-  StepAdvice& advice = StepAt(*job, place).advice;
+  StepAdvice& advice = StepAt(*job, position).advice;
   advice.in_flight = false;
   if (!answer) {
     advice.requested_at = now;
--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -30,14 +30,14 @@
 
 // A pool of four boxes: a and b each run one task of a long-running job that
 // allows one task to be away; x and y are idle. A second pool has no boxes.
-struct TwoLastingTasks {
-  TwoLastingTasks() {
+struct TwoLongRunningTasks {
+  TwoLongRunningTasks() {
     jobs::Config config;
     config.services = {{.name = "pool"}, {.name = "other"}};
     this->bench.scheduler.SetConfig(config, this->bench.now);
     this->Come("a");
     this->Come("b");
-    jobs::Step step = Bench::OneLastingTask();
+    jobs::Step step = Bench::OneLongRunningTask();
     step.tasks = 2;
     step.each.cpu_millis = 2500;
     step.most_per_worker = 1;
@@ -61,13 +61,13 @@
 
   void Come(const std::string& worker) {
     this->bench.scheduler.UpdateWorker(Bench::Worker(worker), this->bench.now);
-    this->bench.List(worker, {});
+    this->bench.Report(worker, {});
   }
 
   void ListBoth() {
     for (const StartRun& start : this->starts)
-      this->bench.List(start.worker.id, AtWork(start),
-                       this->bench.now + seconds(4));
+      this->bench.Report(start.worker.id, AtWork(start),
+                         this->bench.now + seconds(4));
   }
 
   void Confirm() { this->bench.Confirm(); }
@@ -116,7 +116,7 @@
 // (35.008 s, confirmed_ms 8314, heard_ms 9143, presumed_over true), and the box
 // moved at 35.033 s.
 BOOST_AUTO_TEST_CASE(OwnerThatStoodStillMovesNoBoxFromUnderALastingTask) {
-  TwoLastingTasks two;
+  TwoLongRunningTasks two;
   two.SetOtherPoolShort();
   BOOST_TEST(two.MovedAfter(seconds(6)).empty());
 }
@@ -126,7 +126,7 @@
 // zone cut off for 10 s it requested moves with confirmed_ms 4429 to 6580 and
 // presumed_over true while another daemon held the ownership.
 BOOST_AUTO_TEST_CASE(OwnerThatIsCutOffMovesNoBoxFromUnderALastingTask) {
-  TwoLastingTasks two;
+  TwoLongRunningTasks two;
   for (int i = 0; i < 20; ++i) {
     two.bench.scheduler.PollFailed(two.bench.LifeOf("a"),
                                    CommandOutcome::kUnknown, two.bench.now);
@@ -141,7 +141,7 @@
 // Boxes last known as idle may hold another owner's tasks by now. An owner
 // moves none until its ownership is confirmed.
 BOOST_AUTO_TEST_CASE(IdleBoxIsNotMovedWhileTheOwnershipIsNotCertain) {
-  TwoLastingTasks two;
+  TwoLongRunningTasks two;
   two.SetOtherPoolShort();
   BOOST_TEST(two.MovedAfter(milliseconds(1300)).empty());
   two.Confirm();
@@ -152,7 +152,7 @@
 // expires. Nothing shows that its box is empty, so it is not moved before it
 // answers.
 BOOST_AUTO_TEST_CASE(BoxThatIsNotHeardSinceItsLeaseIsNotMoved) {
-  TwoLastingTasks two;
+  TwoLongRunningTasks two;
   jobs::Step step = Bench::OneTask();
   step.each.cpu_millis = 4000;
   two.bench.AddJob("cancelled", step);
@@ -170,7 +170,7 @@
     two.Confirm();
     BOOST_TEST(!Holds(two.MovedAfter(milliseconds(300)), "box-" + silent.id));
   }
-  two.bench.List(silent.id, {});
+  two.bench.Report(silent.id, {});
   two.Confirm();
   BOOST_TEST(Holds(two.MovedAfter(milliseconds(300)), "box-" + silent.id));
 }
--- a/scheduler/box_planning.cc
+++ b/scheduler/box_planning.cc
@@ -19,7 +19,7 @@
 // Maximum age of a listing that shows a long-running task at work. Above the
 // long-poll wait of a listing call (2 s), below the time after which the sites
 // count a silent task as away (4.5 s).
-constexpr base::Micros kMaxListingAge = milliseconds(3000);
+constexpr base::Micros kMaxReportAge = milliseconds(3000);
 
 // Weight of the arrival trend in a pool's expected demand. With 4, 80.4% of the
 // work, weighted by value, was on time over ten test days with faults, and
@@ -56,12 +56,12 @@
     // another owner: only an answer from the worker shows that the box is
     // empty.
     box.available = worker.is_announced && worker.is_described &&
-                    worker.has_listing && !worker.info.draining &&
+                    worker.has_reported && !worker.info.draining &&
                     !worker.runs_presumed_over;
     box.idle = worker.idle();
     box.cores = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0;
     box.busy_cores = static_cast<double>(worker.used.cpu_millis) / 1000.0;
-    box.long_running_tasks = worker.lasting_runs;
+    box.long_running_tasks = worker.long_running_tasks;
     for (const auto& [task, run] : worker.runs) {
       demand_by_pool[box.pool][this->PriorityOf(task)].current_cores +=
           static_cast<double>(run.reserved.cpu_millis) / 1000.0;
@@ -70,8 +70,8 @@
   }
   for (const auto& [service, tasks] : this->ready) {
     for (const ReadyTask& task : tasks) {
-      const jobs::Step& step = StepOf(*task.job, task.place);
-      if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.place)))
+      const jobs::Step& step = StepOf(*task.job, task.position);
+      if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.position)))
         demand_by_pool[service][task.priority].current_cores +=
             static_cast<double>(step.each.cpu_millis) / 1000.0;
     }
@@ -122,7 +122,7 @@
 bool Scheduler::IsStuck(const ReadyTask& task,
                         bool has_cores,
                         base::Micros now) const {
-  const Task& waiting = TaskAt(*task.job, task.place);
+  const Task& waiting = TaskAt(*task.job, task.position);
   return waiting.state == TaskState::kReady &&
          waiting.wait_reason == WaitReason::kCapacity &&
          now - waiting.ready_since > kStuckAfter &&
@@ -135,7 +135,7 @@
                                       const FleetView& view,
                                       std::map<std::string, int>& least) {
   std::map<std::string, int> idle;
-  for (const auto& [life, worker] : this->workers)
+  for (const auto& [incarnation, worker] : this->workers)
     idle[worker.info.service] += worker.idle() && this->IsUsable(worker, now);
   for (const auto& [service, tasks] : this->ready) {
     int boxes = 0;
@@ -173,7 +173,7 @@
                         base::Micros now) {
   this->fleet.SetWave(wave, begun, now);
   for (const auto& [id, worker] : this->workers) {
-    if (worker.has_listing)
+    if (worker.has_reported)
       this->fleet.OnBoxAnswered(worker.info.box);
   }
 }
@@ -190,31 +190,31 @@
     std::visit([&](const auto& one) { this->fleet.Inherit(one, now); }, call);
 }
 
-void Scheduler::MoveAnswered(const MoveBox& order,
+void Scheduler::MoveAnswered(const MoveBox& command,
                              BoxCallOutcome outcome,
                              base::Micros now) {
-  this->fleet.OnMoveOutcome(order, outcome, now);
+  this->fleet.OnMoveOutcome(command, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
-    this->ReclaimBox(order.box, now);
+    this->ReclaimBox(command.box, now);
 }
 
-void Scheduler::MaintenanceAnswered(const MaintainBox& order,
+void Scheduler::MaintenanceAnswered(const MaintainBox& command,
                                     BoxCallOutcome outcome,
                                     base::Micros now) {
-  this->fleet.OnUpkeepOutcome(order, outcome, now);
+  this->fleet.OnMaintenanceOutcome(command, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
-    this->ReclaimBox(order.box, now);
+    this->ReclaimBox(command.box, now);
 }
 
 // All runs on the box have ended once the platform has taken it.
 void Scheduler::ReclaimBox(const std::string& box, base::Micros now) {
-  const jobs::WorkerLife life = this->fleet.WorkerBeforeCall(box);
-  if (!life.empty())
-    this->EndIncarnation(life, LossReason::kBoxReclaimed, now);
+  const jobs::WorkerLife incarnation = this->fleet.WorkerBeforeCall(box);
+  if (!incarnation.empty())
+    this->EndIncarnation(incarnation, LossReason::kBoxReclaimed, now);
 }
 
 // A long-running task may be interrupted while fewer of the step's other tasks
@@ -240,7 +240,7 @@
   const auto worker = this->workers.find(task.worker);
   return task.is_serving && worker != this->workers.end() &&
          worker->second.failed_calls == 0 &&
-         now - worker->second.last_answer_at < kMaxListingAge;
+         now - worker->second.last_answer_at < kMaxReportAge;
 }
 
 // A task is only interrupted if another worker has room for it.
@@ -271,7 +271,8 @@
     if (worker.info.box != box)
       continue;
     for (auto& [task, run] : worker.runs) {
-      const bool movable = run.lasting && run.state == RunState::kRunning;
+      const bool movable =
+          run.is_long_running && run.state == RunState::kRunning;
       if (!movable || !this->MayInterrupt(task, now) ||
           !this->CanRunElsewhere(task, now))
         continue;
@@ -291,7 +292,7 @@
   for (const auto& [id, worker] : this->workers) {
     if (worker.info.box != box)
       continue;
-    if (worker.has_listing)
+    if (worker.has_reported)
       evidence.last_answer_ago = now - worker.last_answer_at;
     evidence.runs_presumed_over = worker.runs_presumed_over;
   }
@@ -308,9 +309,9 @@
     } else if (auto* move = std::get_if<MoveBox>(&action)) {
       move->context = this->BoxCallContextOf(move->box, now);
       this->actions.emplace_back(std::move(*move));
-    } else if (auto* upkeep = std::get_if<MaintainBox>(&action)) {
-      upkeep->context = this->BoxCallContextOf(upkeep->box, now);
-      this->actions.emplace_back(std::move(*upkeep));
+    } else if (auto* maintenance = std::get_if<MaintainBox>(&action)) {
+      maintenance->context = this->BoxCallContextOf(maintenance->box, now);
+      this->actions.emplace_back(std::move(*maintenance));
     } else if (const auto* report = std::get_if<ReportWave>(&action)) {
       this->actions.emplace_back(*report);
     }
--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -26,7 +26,7 @@
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
     bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
-    bench.List(id, {});
+    bench.Report(id, {});
   }
   bench.AddJob("job");
   std::vector<SaveProgress> saves;
@@ -47,7 +47,7 @@
 BOOST_AUTO_TEST_CASE(RoomThatShrankTakesNothingUntilItFits) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("first");
   const StartRun first = bench.NextStart();
   bench.scheduler.StartAnswered(first, CommandOutcome::kDone, bench.now);
@@ -59,13 +59,13 @@
                                           .checkpoint = "",
                                           .percent = 50}},
                              .ended = {}};
-  bench.List("w", running);
+  bench.Report("w", running);
   for (int turn = 0; turn < 5; ++turn) {
     const std::vector<Action> actions = bench.Turn();
     BOOST_TEST(Only<StartRun>(actions).empty());
     BOOST_TEST(Only<StopRun>(actions).empty());
     bench.Save(Only<SaveProgress>(actions));
-    bench.List("w", running);
+    bench.Report("w", running);
   }
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   BOOST_TEST(bench.NextStart().task.job == "second");
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -34,7 +34,7 @@
 base::Micros ConfirmedRunTime(const Run& run, const Worker& worker) {
   if (run.start_answered_at == base::Micros::zero())
     return {};
-  return std::max(worker.listing_requested_at - run.start_answered_at,
+  return std::max(worker.report_requested_at - run.start_answered_at,
                   base::Micros::zero());
 }
 
@@ -42,18 +42,18 @@
 // as reported unless a loss is recorded for it: that owner may have been
 // replaced before it recorded the report.
 bool WasReported(const Job& job,
-                 const TaskPosition& place,
+                 const TaskPosition& position,
                  const Worker& worker,
                  const Run& run) {
   if (run.start_answered_at > base::Micros::zero())
     return true;
-  const auto known = job.progress.losses.find(KeyOf(place));
+  const auto known = job.progress.losses.find(KeyOf(position));
   const bool is_recorded = known != job.progress.losses.end() &&
-                           known->second.contains(worker.info.life);
+                           known->second.contains(worker.info.incarnation);
   return run.state == RunState::kInherited && !is_recorded;
 }
 
-bool HasLastingStep(const Job& job) {
+bool HasLongRunningStep(const Job& job) {
   return std::any_of(job.spec.steps.begin(), job.spec.steps.end(),
                      [](const jobs::Step& step) { return step.lasting; });
 }
@@ -70,25 +70,26 @@
 std::map<jobs::TaskId, jobs::WorkerLoss> Scheduler::CollectLosses(
     const Worker& worker,
     const std::map<jobs::TaskId, Run>& runs,
-    LossReason sign) {
+    LossReason reason) {
   std::map<jobs::TaskId, jobs::WorkerLoss> losses;
-  const bool was_planned = sign == LossReason::kBoxReclaimed ||
-                           sign == LossReason::kDeregistered ||
+  const bool was_planned = reason == LossReason::kBoxReclaimed ||
+                           reason == LossReason::kDeregistered ||
                            worker.info.draining;
   if (was_planned)
     return losses;
   // A worker that withdrew its announcement left on purpose; another life at
   // its address afterwards doesn't indicate a crash.
-  const bool has_crashed = (sign == LossReason::kOtherIncarnation ||
-                            sign == LossReason::kRestarted) &&
+  const bool has_crashed = (reason == LossReason::kOtherIncarnation ||
+                            reason == LossReason::kRestarted) &&
                            !worker.has_withdrawn();
   const bool has_other_suspects = HasOtherSuspects(runs);
   for (const auto& [id, run] : runs) {
     const Job* job = this->FindJob(id.job);
     const base::Micros ran = ConfirmedRunTime(run, worker);
     // A lasting task that outlived the startup window is not a suspect.
-    const bool may_be_cause = run.state != RunState::kPlanned &&
-                              !(run.lasting && ran >= kStartupCrashWindow);
+    const bool may_be_cause =
+        run.state != RunState::kPlanned &&
+        !(run.is_long_running && ran >= kStartupCrashWindow);
     if (!may_be_cause || !job || !HasTask(*job, PositionOf(id)))
       continue;
     const bool was_alone =
@@ -105,28 +106,29 @@
 }
 
 void Scheduler::RecordLoss(Job& job,
-                           const TaskPosition& place,
-                           const jobs::WorkerLife& life,
+                           const TaskPosition& position,
+                           const jobs::WorkerLife& incarnation,
                            const jobs::WorkerLoss& loss,
                            base::Micros now) {
-  if (job.finished() || TaskAt(job, place).state == TaskState::kDone)
+  if (job.finished() || TaskAt(job, position).state == TaskState::kDone)
     return;
-  job.progress.MarkLost(KeyOf(place), life, loss);
-  TaskAt(job, place).latest_loss_at = now;
+  job.progress.MarkLost(KeyOf(position), incarnation, loss);
+  TaskAt(job, position).latest_loss_at = now;
   if (loss.has_crashed)
     this->GiveUpCrashingTasks(job, now);
   else if (!loss.box.empty())
-    this->open_losses.Add(life, loss.box, job.id);
+    this->open_losses.Add(incarnation, loss.box, job.id);
 }
 
 // Records the loss of a worker that is no longer known, on which an earlier
 // owner placed the task. That owner may have known the outcome but been
 // replaced before it recorded it.
 void Scheduler::RecordUnobservedLoss(Job& job,
-                                     const TaskPosition& place,
+                                     const TaskPosition& position,
                                      const jobs::Placement& placement,
                                      base::Micros now) {
-  this->RecordLoss(job, place, placement.worker, {.run = placement.run}, now);
+  this->RecordLoss(job, position, placement.worker, {.run = placement.run},
+                   now);
 }
 
 // Cancels planned starts that were decided without losses that another owner
@@ -139,23 +141,23 @@
   std::vector<TaskPosition> voided;
   const std::vector<PendingStart> pending = job.pending_starts;
   for (const PendingStart& start : pending) {
-    const auto worker = this->workers.find(TaskAt(job, start.place).worker);
+    const auto worker = this->workers.find(TaskAt(job, start.position).worker);
     if (worker == this->workers.end())
       continue;
-    const auto run = worker->second.runs.find(IdOf(job, start.place));
+    const auto run = worker->second.runs.find(IdOf(job, start.position));
     const bool is_outdated =
         run != worker->second.runs.end() &&
-        run->second.suspicion < this->SuspicionOf(job, start.place, now);
+        run->second.suspicion < this->SuspicionOf(job, start.position, now);
     if (!is_outdated)
       continue;
-    this->CancelPlan(job, start.place);
-    const jobs::TaskKey key = KeyOf(start.place);
+    this->CancelPlan(job, start.position);
+    const jobs::TaskKey key = KeyOf(start.position);
     const auto recorded = stored.placed.find(key);
     if (recorded != stored.placed.end())
       job.progress.placed[key] = recorded->second;
     else
       job.progress.placed.erase(key);
-    voided.push_back(start.place);
+    voided.push_back(start.position);
   }
   return voided;
 }
@@ -163,13 +165,13 @@
 // Takes over the losses stored in the job's row.
 void Scheduler::InheritLosses(Job& job, base::Micros now) {
   for (const auto& [key, losses] : job.progress.losses) {
-    const TaskPosition place = PlaceOfKey(key);
-    if (!HasTask(job, place))
+    const TaskPosition position = PlaceOfKey(key);
+    if (!HasTask(job, position))
       continue;
-    TaskAt(job, place).latest_loss_at = now;
-    for (const auto& [life, loss] : losses) {
+    TaskAt(job, position).latest_loss_at = now;
+    for (const auto& [incarnation, loss] : losses) {
       if (!loss.has_crashed && !loss.box.empty())
-        this->open_losses.Add(life, loss.box, job.id);
+        this->open_losses.Add(incarnation, loss.box, job.id);
     }
   }
   this->GiveUpCrashingTasks(job, now);
@@ -178,18 +180,18 @@
 // Called when a worker answers. It has not crashed, so its unresolved losses
 // are dropped; those of other lives on the same box are confirmed as crashes.
 void Scheduler::ResolveLosses(const Worker& worker, base::Micros now) {
-  const jobs::WorkerLife& life = worker.info.life;
-  for (const std::string& id : this->open_losses.Remove(life)) {
+  const jobs::WorkerLife& incarnation = worker.info.incarnation;
+  for (const std::string& id : this->open_losses.Remove(incarnation)) {
     Job* job = this->FindJob(id);
     if (!job)
       continue;
     for (auto& [task, losses] : job->progress.losses)
-      losses.erase(life);
+      losses.erase(incarnation);
     std::erase_if(job->progress.losses,
                   [](const auto& entry) { return entry.second.empty(); });
   }
   for (const jobs::WorkerLife& other :
-       this->open_losses.OtherLivesOn(worker.info.box, life)) {
+       this->open_losses.OtherIncarnationsOn(worker.info.box, incarnation)) {
     for (const std::string& id : this->open_losses.Remove(other)) {
       Job* job = this->FindJob(id);
       if (!job)
@@ -205,15 +207,15 @@
 }
 
 // Called when the run is planned, so that the row has it before the start.
-void Scheduler::RecordLastTry(Job& job, const TaskPosition& place, int run) {
-  const auto found = job.progress.losses.find(KeyOf(place));
+void Scheduler::RecordLastTry(Job& job, const TaskPosition& position, int run) {
+  const auto found = job.progress.losses.find(KeyOf(position));
   if (found != job.progress.losses.end() && IsLastTry(found->second))
-    job.progress.last_tries[KeyOf(place)].insert(run);
+    job.progress.last_tries[KeyOf(position)].insert(run);
 }
 
 // Undoes NoteLastTry for a run that was not started.
-void Scheduler::RevokeLastTry(Job& job, const TaskPosition& place, int run) {
-  const auto found = job.progress.last_tries.find(KeyOf(place));
+void Scheduler::RevokeLastTry(Job& job, const TaskPosition& position, int run) {
+  const auto found = job.progress.last_tries.find(KeyOf(position));
   if (found == job.progress.last_tries.end())
     return;
   found->second.erase(run);
@@ -222,34 +224,34 @@
 }
 
 Suspicion Scheduler::SuspicionOf(const Job& job,
-                                 const TaskPosition& place,
+                                 const TaskPosition& position,
                                  base::Micros now) const {
   if (job.progress.losses.empty())
     return Suspicion::kNone;
-  const auto found = job.progress.losses.find(KeyOf(place));
+  const auto found = job.progress.losses.find(KeyOf(position));
   if (found == job.progress.losses.end())
     return Suspicion::kNone;
-  const auto index = static_cast<std::size_t>(place.index);
-  const Task& task = StepAt(job, place).tasks[index];
-  const auto tries = job.progress.last_tries.find(KeyOf(place));
-  return AssessSuspicion(found->second,
-                         tries == job.progress.last_tries.end()
-                             ? jobs::RunNumbers()
-                             : tries->second,
-                         now - task.latest_loss_at, StepOf(job, place).lasting);
+  const auto index = static_cast<std::size_t>(position.index);
+  const Task& task = StepAt(job, position).tasks[index];
+  const auto tries = job.progress.last_tries.find(KeyOf(position));
+  return AssessSuspicion(
+      found->second,
+      tries == job.progress.last_tries.end() ? jobs::RunNumbers()
+                                             : tries->second,
+      now - task.latest_loss_at, StepOf(job, position).lasting);
 }
 
 // The members of a gang start together, so the highest suspicion applies.
 Suspicion Scheduler::SuspicionOfStart(const Job& job,
-                                      const TaskPosition& place,
+                                      const TaskPosition& position,
                                       base::Micros now) const {
-  if (job.progress.losses.empty() || !StepOf(job, place).gang)
-    return this->SuspicionOf(job, place, now);
+  if (job.progress.losses.empty() || !StepOf(job, position).gang)
+    return this->SuspicionOf(job, position, now);
   Suspicion worst = Suspicion::kNone;
-  const auto members = static_cast<int>(StepAt(job, place).tasks.size());
+  const auto members = static_cast<int>(StepAt(job, position).tasks.size());
   for (int i = 0; i < members; ++i) {
     const TaskPosition member{
-        .occurrence = place.occurrence, .step = place.step, .index = i};
+        .occurrence = position.occurrence, .step = position.step, .index = i};
     worst = std::max(worst, this->SuspicionOf(job, member, now));
   }
   return worst;
@@ -262,16 +264,16 @@
 void Scheduler::GiveUpCrashingTasks(Job& job, base::Micros now) {
   if (job.finished())
     return;
-  const bool keeps_running = HasLastingStep(job);
+  const bool keeps_running = HasLongRunningStep(job);
   for (const auto& [key, losses] : job.progress.losses) {
-    const TaskPosition place = PlaceOfKey(key);
-    if (!HasTask(job, place))
+    const TaskPosition position = PlaceOfKey(key);
+    if (!HasTask(job, position))
       continue;
-    Task& task = TaskAt(job, place);
+    Task& task = TaskAt(job, position);
     const bool may_start =
         task.state == TaskState::kReady || task.state == TaskState::kBlocked;
     if ((keeps_running && !may_start) || task.state == TaskState::kGivenUp ||
-        this->SuspicionOf(job, place, now) != Suspicion::kGiveUp)
+        this->SuspicionOf(job, position, now) != Suspicion::kGiveUp)
       continue;
     this->actions.emplace_back(
         TaskGivenUp{.job = job.id, .task = key, .losses = losses});
@@ -293,7 +295,7 @@
   const base::Micros ran = ConfirmedRunTime(run, worker);
   if (run.suspicion != Suspicion::kNone && ran >= kSuspectWatchTime)
     ClearSuspicion(worker, run);
-  if (!run.lasting || ran < kStartupCrashWindow)
+  if (!run.is_long_running || ran < kStartupCrashWindow)
     return;
   Job* job = this->FindJob(id.job);
   if (!job || job->progress.losses.empty())
--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -74,11 +74,11 @@
 // Only one task of the lasting job may be away at a time. The task that crashes
 // its workers is given up, and the other tasks must not be stopped for it.
 BOOST_AUTO_TEST_CASE(LastingTasksBesideACrashingOneServeOn) {
-  ModelJob lasting = MakeJob("lasting", 4);
-  lasting.spec.steps[0].lasting = true;
-  lasting.spec.steps[0].may_be_away = 1;
-  lasting.crashing = {{.occurrence = 0, .step = 0, .index = 2}};
-  SchedulerModel model(1, {}, 6, {lasting});
+  ModelJob long_running = MakeJob("lasting", 4);
+  long_running.spec.steps[0].lasting = true;
+  long_running.spec.steps[0].may_be_away = 1;
+  long_running.crashing = {{.occurrence = 0, .step = 0, .index = 2}};
+  SchedulerModel model(1, {}, 6, {long_running});
   model.RunFor(seconds(40));
   model.TakeOver();
   model.RunFor(seconds(10));
@@ -107,8 +107,8 @@
     }
     ModelFaults faults;
     faults.lost_answer = odds(150);
-    faults.lost_order = odds(100);
-    faults.late_order = odds(50);
+    faults.lost_command = odds(100);
+    faults.late_command = odds(50);
     faults.lost_save = odds(200);
     faults.late_save = odds(100);
     faults.crash = odds(100);
--- a/scheduler/facts.h
+++ b/scheduler/facts.h
@@ -17,7 +17,7 @@
 
 // One incarnation of a worker process, as the worker registers itself.
 struct WorkerInfo {
-  jobs::WorkerLife life;
+  jobs::WorkerLife incarnation;
   std::string box;
   std::string service;
   std::string address;  // ip:port
@@ -96,8 +96,8 @@
 
 // A worker's status report.
 struct WorkerReport {
-  jobs::WorkerLife life;      // the incarnation that answered
-  std::int64_t clock_ms = 0;  // the worker's own clock
+  jobs::WorkerLife incarnation;  // the incarnation that answered
+  std::int64_t clock_ms = 0;     // the worker's own clock
   std::vector<ReportedRun> running;
   std::vector<ReportedEnd> ended;
 };
--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -32,7 +32,7 @@
 
 void FleetPlanner::Inherit(const MoveBox& call, base::Micros now) {
   this->moves[call.box] = {.pool = call.pool,
-                           .worker_before_call = call.life,
+                           .worker_before_call = call.incarnation,
                            .since = now,
                            .is_inherited = true};
 }
@@ -42,8 +42,8 @@
 void FleetPlanner::Inherit(const MaintainBox& call, base::Micros now) {
   WaveProgress& progress = this->waves[call.wave];
   progress.wave.number = call.wave;
-  progress.boxes[call.box] = {.state = UpkeepState::kRequested,
-                              .worker_before_call = call.life,
+  progress.boxes[call.box] = {.state = MaintenanceState::kRequested,
+                              .worker_before_call = call.incarnation,
                               .since = now,
                               .may_have_begun = true,
                               .is_inherited = true};
@@ -72,12 +72,13 @@
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
       continue;
-    Upkeep& upkeep = found->second;
+    Maintenance& maintenance = found->second;
     const bool may_be_back =
-        now >= upkeep.first_call_at + MinTimeAway(this->limits.upkeep_duration);
-    if (upkeep.state == UpkeepState::kDown && may_be_back &&
-        jobs::IsOtherLife(upkeep.worker_before_call, worker))
-      upkeep.state = UpkeepState::kDone;
+        now >= maintenance.first_call_at +
+                   MinTimeAway(this->limits.maintenance_duration);
+    if (maintenance.state == MaintenanceState::kDown && may_be_back &&
+        jobs::IsOtherLife(maintenance.worker_before_call, worker))
+      maintenance.state = MaintenanceState::kDone;
   }
   const auto move = this->moves.find(box);
   if (move == this->moves.end() ||
@@ -108,10 +109,10 @@
   this->ReconcileWaves(asked, now);
 }
 
-void FleetPlanner::OnMoveOutcome(const MoveBox& order,
+void FleetPlanner::OnMoveOutcome(const MoveBox& command,
                                  BoxCallOutcome outcome,
                                  base::Micros now) {
-  const auto found = this->moves.find(order.box);
+  const auto found = this->moves.find(command.box);
   if (found == this->moves.end())
     return;
   Move& move = found->second;
@@ -204,7 +205,7 @@
       move.is_inherited = false;
       actions.emplace_back(MoveBox{.box = it->first,
                                    .pool = move.pool,
-                                   .life = move.worker_before_call});
+                                   .incarnation = move.worker_before_call});
     }
     ++it;
   }
@@ -219,7 +220,7 @@
   for (const FleetBox& box : view.boxes) {
     const auto move = this->moves.find(box.name);
     const bool moves_now = move != this->moves.end();
-    if ((box.available || moves_now) && !this->IsInUpkeep(box.name))
+    if ((box.available || moves_now) && !this->IsInMaintenance(box.name))
       held[moves_now ? move->second.pool : box.pool] += box.cores;
   }
   return held;
@@ -279,8 +280,9 @@
     move.since = now;
     move.first_call_at = now;
     move.in_flight = true;
-    actions.emplace_back(MoveBox{
-        .box = donor->name, .pool = shortest->name, .life = donor->worker});
+    actions.emplace_back(MoveBox{.box = donor->name,
+                                 .pool = shortest->name,
+                                 .incarnation = donor->worker});
   }
   // 3. For the remaining shortage, reclaim busy boxes of pools with a surplus.
   this->SelectReclaimed(view, surplus, short_cores);
@@ -305,7 +307,8 @@
     const auto pool = surplus.find(box.pool);
     const bool may_move = box.available && box.idle && box.pool != to.name &&
                           !this->moves.contains(box.name) &&
-                          !this->IsInUpkeep(box.name) && pool != surplus.end();
+                          !this->IsInMaintenance(box.name) &&
+                          pool != surplus.end();
     if (!may_move)
       continue;
     const bool is_spare = std::any_of(
@@ -330,7 +333,7 @@
   for (const FleetBox& box : view.boxes) {
     const bool may_move =
         box.available && !box.idle && box.long_running_tasks == 0 &&
-        !this->moves.contains(box.name) && !this->IsInUpkeep(box.name);
+        !this->moves.contains(box.name) && !this->IsInMaintenance(box.name);
     if (may_move)
       busy.push_back(&box);
   }
@@ -355,17 +358,17 @@
   const auto move = this->moves.find(box);
   if (move != this->moves.end() && !move->second.done)
     return true;
-  return std::any_of(this->waves.begin(), this->waves.end(),
-                     [&box](const auto& entry) {
-                       const auto found = entry.second.boxes.find(box);
-                       return found != entry.second.boxes.end() &&
-                              found->second.state == UpkeepState::kRequested;
-                     });
+  return std::any_of(
+      this->waves.begin(), this->waves.end(), [&box](const auto& entry) {
+        const auto found = entry.second.boxes.find(box);
+        return found != entry.second.boxes.end() &&
+               found->second.state == MaintenanceState::kRequested;
+      });
 }
 
 bool FleetPlanner::IsLeaving(const std::string& box) const {
   return this->moves.contains(box) || this->reclaimed.contains(box) ||
-         this->IsInUpkeep(box);
+         this->IsInMaintenance(box);
 }
 
 jobs::WorkerLife FleetPlanner::WorkerBeforeCall(const std::string& box) const {
@@ -375,7 +378,7 @@
   for (const auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found != progress.boxes.end() &&
-        found->second.state == UpkeepState::kDown)
+        found->second.state == MaintenanceState::kDown)
       return found->second.worker_before_call;
   }
   return {};
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -20,8 +20,8 @@
 namespace quartzhoist::scheduler {
 
 struct FleetTimings {
-  base::Micros move_duration{};    // from the call until the box serves
-  base::Micros upkeep_duration{};  // from the call until the box is back
+  base::Micros move_duration{};         // from the call until the box serves
+  base::Micros maintenance_duration{};  // from the call until the box is back
 };
 
 // Result of a platform call that moves a box or starts its upkeep.
@@ -139,12 +139,12 @@
   void SetBoxes(const std::vector<BoxInfo>& boxes,
                 base::Micros asked,
                 base::Micros now);
-  void OnMoveOutcome(const MoveBox& order,
+  void OnMoveOutcome(const MoveBox& command,
                      BoxCallOutcome outcome,
                      base::Micros now);
-  void OnUpkeepOutcome(const MaintainBox& order,
-                       BoxCallOutcome outcome,
-                       base::Micros now);
+  void OnMaintenanceOutcome(const MaintainBox& command,
+                            BoxCallOutcome outcome,
+                            base::Micros now);
 
   std::vector<FleetAction> Plan(const FleetView& view, base::Micros now);
 
@@ -159,15 +159,15 @@
   bool NeedsBoxList() const;
 
  private:
-  enum class UpkeepState {
+  enum class MaintenanceState {
     kPending,
     kEvacuating,  // nothing new is placed there
     kRequested,   // called; the outcome is not known
     kDown,
     kDone,
   };
-  struct Upkeep {
-    UpkeepState state = UpkeepState::kPending;
+  struct Maintenance {
+    MaintenanceState state = MaintenanceState::kPending;
     jobs::WorkerLife worker_before_call;
     base::Micros since{};
     base::Micros first_call_at{};  // it has not begun before
@@ -178,7 +178,7 @@
   };
   struct WaveProgress {
     Wave wave;
-    std::map<std::string, Upkeep> boxes;
+    std::map<std::string, Maintenance> boxes;
     bool needs_report = true;
     bool completed = false;
     base::Micros since{};
@@ -211,20 +211,21 @@
     int away = 0;
     int pinned_evacuating = 0;  // of them, evacuating long-running tasks
     bool all_done = true;
-    std::vector<std::pair<const FleetBox*, Upkeep*>> pending;
+    std::vector<std::pair<const FleetBox*, Maintenance*>> pending;
   };
 
   // An inherited call is repeated once its box is available and idle.
   enum class InheritedCall { kUnresolved, kRetry, kObsolete };
   static InheritedCall ClassifyInherited(const BoxesByName& boxes,
                                          const std::string& box);
-  static bool ResolveInherited(Upkeep& upkeep, InheritedCall inherited);
+  static bool ResolveInherited(Maintenance& maintenance,
+                               InheritedCall inherited);
   ReportWave MakeReport(const WaveProgress& progress) const;
   void ReconcileWaves(base::Micros asked, base::Micros now);
   // Whether the box is, or recently was, in upkeep for another wave.
-  bool IsInUpkeepForOtherWave(int wave,
-                              const std::string& box,
-                              base::Micros asked) const;
+  bool IsInMaintenanceForOtherWave(int wave,
+                                   const std::string& box,
+                                   base::Micros asked) const;
   WaveCounts CountWave(WaveProgress& progress,
                        const BoxesByName& boxes,
                        base::Micros now) const;
@@ -252,7 +253,7 @@
   void SelectReclaimed(const FleetView& view,
                        std::map<std::string, double>& surplus,
                        double short_cores);
-  bool IsInUpkeep(const std::string& box) const;
+  bool IsInMaintenance(const std::string& box) const;
 
   FleetTimings limits;
   std::map<int, WaveProgress> waves;
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -18,7 +18,7 @@
 using std::chrono::seconds;
 
 constexpr FleetTimings kLimits{.move_duration = milliseconds(1500),
-                               .upkeep_duration = milliseconds(2000)};
+                               .maintenance_duration = milliseconds(2000)};
 
 FleetBox IdleBox(const std::string& name, const std::string& pool) {
   return {.name = name,
@@ -176,23 +176,23 @@
       view.boxes.push_back(box);
     view.pools = {{.name = "pool", .spare = false, .demand = {}}};
     for (const FleetAction& step : fleet.Plan(view, now)) {
-      if (const auto* upkeep = std::get_if<MaintainBox>(&step)) {
+      if (const auto* maintenance = std::get_if<MaintainBox>(&step)) {
         // 0: not carried out, no answer; 1: carried out, no answer; 2 and 3:
         // not carried out, answered so; else carried out and confirmed.
         const auto kind = random() % 6;
         const bool carried_out = kind == 1 || kind > 3;
-        if (carried_out && boxes[upkeep->box].available) {
-          RC_ASSERT(boxes[upkeep->box].idle);
-          ++begun[upkeep->box];
-          boxes[upkeep->box].available = false;
-          down[upkeep->box] = now + seconds(2);
+        if (carried_out && boxes[maintenance->box].available) {
+          RC_ASSERT(boxes[maintenance->box].idle);
+          ++begun[maintenance->box];
+          boxes[maintenance->box].available = false;
+          down[maintenance->box] = now + seconds(2);
           RC_ASSERT(static_cast<int>(down.size()) <= most);
         }
         const BoxCallOutcome outcome = kind <= 1   ? BoxCallOutcome::kUnknown
                                        : kind == 2 ? BoxCallOutcome::kNotSent
                                        : kind == 3 ? BoxCallOutcome::kThrottled
                                                    : BoxCallOutcome::kDone;
-        fleet.OnUpkeepOutcome(*upkeep, outcome, now);
+        fleet.OnMaintenanceOutcome(*maintenance, outcome, now);
       } else if (const auto* evacuate = std::get_if<EvacuateBox>(&step)) {
         boxes[evacuate->box].idle = random() % 2 == 0;
       } else if (const auto* report = std::get_if<ReportWave>(&step)) {
@@ -239,7 +239,7 @@
   BOOST_REQUIRE(first.size() == 1U);
   const base::Micros asked = now;
   now += milliseconds(100);
-  fleet.OnUpkeepOutcome(first[0], BoxCallOutcome::kDone, now);
+  fleet.OnMaintenanceOutcome(first[0], BoxCallOutcome::kDone, now);
   now += seconds(3);
   fleet.SetBoxes(listed, asked, now);
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).empty());
@@ -256,8 +256,9 @@
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
                  .pools = {{.name = "pool", .spare = false, .demand = {}}}};
   const base::Micros now = seconds(10);
-  fleet.Inherit(MaintainBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
-                now);
+  fleet.Inherit(
+      MaintainBox{.box = "b1", .wave = 1, .incarnation = {.id = "b1-life"}},
+      now);
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .cores = 16.0},
                   {.name = "b2", .pool = "pool", .cores = 16.0}},
                  now, now);
@@ -274,7 +275,7 @@
       Only<MaintainBox>(fleet.Plan(view, now + milliseconds(250)));
   BOOST_REQUIRE(made.size() == 1U);
   BOOST_TEST(made[0].box == "b1");
-  BOOST_TEST(made[0].life.id == "b1-life");
+  BOOST_TEST(made[0].incarnation.id == "b1-life");
 }
 
 // A box with runs shows that the previous owner abandoned its call or that it
@@ -288,10 +289,12 @@
     box.idle = false;
     box.long_running_tasks = 1;
   }
-  fleet.Inherit(MaintainBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
-                now);
   fleet.Inherit(
-      MoveBox{.box = "b2", .pool = "other", .life = {.id = "b2-life"}}, now);
+      MaintainBox{.box = "b1", .wave = 1, .incarnation = {.id = "b1-life"}},
+      now);
+  fleet.Inherit(
+      MoveBox{.box = "b2", .pool = "other", .incarnation = {.id = "b2-life"}},
+      now);
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .cores = 16.0},
                   {.name = "b2", .pool = "pool", .cores = 16.0}},
                  now, now);
@@ -311,8 +314,8 @@
 // A crashed worker that restarts while its box goes down announces a new
 // instance. Taken as the end of the upkeep, this let the wave exceed its limit.
 BOOST_AUTO_TEST_CASE(LifeThatStartsWhileItsBoxIsTakenIsNotBackFromTheUpkeep) {
-  FleetPlanner fleet(
-      {.move_duration = milliseconds(1500), .upkeep_duration = seconds(2)});
+  FleetPlanner fleet({.move_duration = milliseconds(1500),
+                      .maintenance_duration = seconds(2)});
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
                   .duration = seconds(60),
@@ -325,7 +328,8 @@
                  .pools = {{.name = "pool"}}};
   const auto first = Only<MaintainBox>(fleet.Plan(view, seconds(1)));
   BOOST_REQUIRE(first.size() == 1U);
-  fleet.OnUpkeepOutcome(first[0], BoxCallOutcome::kDone, milliseconds(1020));
+  fleet.OnMaintenanceOutcome(first[0], BoxCallOutcome::kDone,
+                             milliseconds(1020));
   fleet.OnBoxAnnounced(first[0].box, {.id = "crashed-and-back"}, "pool",
                        milliseconds(1400));
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, milliseconds(1500))).empty());
@@ -342,7 +346,8 @@
   FleetPlanner fleet(kLimits);
   const base::Micros now = seconds(10);
   fleet.Inherit(
-      MoveBox{.box = "b1", .pool = "other", .life = {.id = "b1-life"}}, now);
+      MoveBox{.box = "b1", .pool = "other", .incarnation = {.id = "b1-life"}},
+      now);
   fleet.OnBoxAnnounced("b1", {.id = "b1-next"}, "other", now);
   BOOST_TEST(fleet.IsLeaving("b1"));
   FleetBox box = IdleBox("b1", "other");
@@ -442,8 +447,8 @@
   fleet.SetWave(wave(1), {}, seconds(1));
   fleet.SetBoxes({up}, seconds(1), seconds(1));
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(1))).size() == 1U);
-  fleet.OnUpkeepOutcome({.box = "b1", .wave = 1}, BoxCallOutcome::kDone,
-                        seconds(1));
+  fleet.OnMaintenanceOutcome({.box = "b1", .wave = 1}, BoxCallOutcome::kDone,
+                             seconds(1));
   fleet.SetWave(wave(2), {}, seconds(2));
   fleet.SetBoxes({down}, seconds(2), seconds(2));
   // The new worker instance announces itself before the list shows the box up.
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -34,8 +34,8 @@
   for (const std::string& box : begun) {
     const auto found = progress.boxes.find(box);
     if (found != progress.boxes.end() &&
-        found->second.state == UpkeepState::kPending) {
-      found->second.state = UpkeepState::kDown;
+        found->second.state == MaintenanceState::kPending) {
+      found->second.state = MaintenanceState::kDown;
       found->second.since = now;
     }
   }
@@ -50,10 +50,10 @@
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
       continue;
-    Upkeep& upkeep = found->second;
-    const bool is_inherited = upkeep.worker_before_call.empty();
-    if (upkeep.state == UpkeepState::kDown && is_inherited)
-      upkeep.state = UpkeepState::kDone;
+    Maintenance& maintenance = found->second;
+    const bool is_inherited = maintenance.worker_before_call.empty();
+    if (maintenance.state == MaintenanceState::kDown && is_inherited)
+      maintenance.state = MaintenanceState::kDone;
   }
 }
 
@@ -61,28 +61,30 @@
 // that a previous owner started but did not record.
 void FleetPlanner::ReconcileWaves(base::Micros asked, base::Micros now) {
   for (auto& [number, progress] : this->waves) {
-    for (auto& [name, upkeep] : progress.boxes) {
+    for (auto& [name, maintenance] : progress.boxes) {
       const auto found = this->listed.find(name);
       // A removed box needs no upkeep.
       const bool is_removed = found == this->listed.end();
       // An owner that was paused may read a list requested before the upkeep
       // call. Only a list requested after the upkeep can show the box back.
-      const bool back = !is_removed && found->second.state == BoxState::kUp &&
-                        upkeep.state == UpkeepState::kDown &&
-                        asked > upkeep.since + this->limits.upkeep_duration;
+      const bool back =
+          !is_removed && found->second.state == BoxState::kUp &&
+          maintenance.state == MaintenanceState::kDown &&
+          asked > maintenance.since + this->limits.maintenance_duration;
       if (is_removed || back)
-        upkeep.state = UpkeepState::kDone;
+        maintenance.state = MaintenanceState::kDone;
       // Without a recorded start, the list may show that it was started.
-      const bool may_begin = upkeep.state == UpkeepState::kPending ||
-                             upkeep.state == UpkeepState::kEvacuating ||
-                             upkeep.is_inherited;
+      const bool may_begin =
+          maintenance.state == MaintenanceState::kPending ||
+          maintenance.state == MaintenanceState::kEvacuating ||
+          maintenance.is_inherited;
       const bool begun = !is_removed &&
                          found->second.state == BoxState::kMaintenance &&
                          may_begin;
-      if (begun && !this->IsInUpkeepForOtherWave(number, name, asked)) {
-        upkeep.state = UpkeepState::kDown;
-        upkeep.is_inherited = false;
-        upkeep.since = now;
+      if (begun && !this->IsInMaintenanceForOtherWave(number, name, asked)) {
+        maintenance.state = MaintenanceState::kDown;
+        maintenance.is_inherited = false;
+        maintenance.since = now;
         progress.needs_report = true;
       }
     }
@@ -92,55 +94,56 @@
 // The box list does not name the wave of an upkeep, and waves may overlap. Were
 // the upkeep counted for both, one wave would be reported as completed without
 // its own upkeep of the box.
-bool FleetPlanner::IsInUpkeepForOtherWave(int wave,
-                                          const std::string& box,
-                                          base::Micros asked) const {
+bool FleetPlanner::IsInMaintenanceForOtherWave(int wave,
+                                               const std::string& box,
+                                               base::Micros asked) const {
   return std::any_of(
       this->waves.begin(), this->waves.end(), [&](const auto& entry) {
         const auto found = entry.second.boxes.find(box);
         if (entry.first == wave || found == entry.second.boxes.end())
           return false;
-        const Upkeep& upkeep = found->second;
+        const Maintenance& maintenance = found->second;
         const bool is_recently_done =
-            upkeep.state == UpkeepState::kDone &&
-            asked < upkeep.since + this->limits.upkeep_duration + kMaxListAge;
-        return upkeep.state == UpkeepState::kRequested ||
-               upkeep.state == UpkeepState::kDown || is_recently_done;
+            maintenance.state == MaintenanceState::kDone &&
+            asked < maintenance.since + this->limits.maintenance_duration +
+                        kMaxListAge;
+        return maintenance.state == MaintenanceState::kRequested ||
+               maintenance.state == MaintenanceState::kDown || is_recently_done;
       });
 }
 
-void FleetPlanner::OnUpkeepOutcome(const MaintainBox& order,
-                                   BoxCallOutcome outcome,
-                                   base::Micros now) {
-  const auto wave = this->waves.find(order.wave);
+void FleetPlanner::OnMaintenanceOutcome(const MaintainBox& command,
+                                        BoxCallOutcome outcome,
+                                        base::Micros now) {
+  const auto wave = this->waves.find(command.wave);
   if (wave == this->waves.end())
     return;
-  const auto found = wave->second.boxes.find(order.box);
+  const auto found = wave->second.boxes.find(command.box);
   if (found == wave->second.boxes.end())
     return;
-  Upkeep& upkeep = found->second;
-  upkeep.in_flight = false;
+  Maintenance& maintenance = found->second;
+  maintenance.in_flight = false;
   switch (outcome) {
     case BoxCallOutcome::kDone:
-      upkeep.state = UpkeepState::kDown;
-      upkeep.since = now;
+      maintenance.state = MaintenanceState::kDown;
+      maintenance.since = now;
       wave->second.needs_report = true;
       break;
     case BoxCallOutcome::kUnknown:
-      upkeep.may_have_begun = true;
-      upkeep.next_call_at = now + kCallRetryDelay;
+      maintenance.may_have_begun = true;
+      maintenance.next_call_at = now + kCallRetryDelay;
       break;
     case BoxCallOutcome::kRefused:
-      upkeep.state = UpkeepState::kDone;
+      maintenance.state = MaintenanceState::kDone;
       break;
     case BoxCallOutcome::kNotSent:
     case BoxCallOutcome::kFenced:
     case BoxCallOutcome::kBusy:
     case BoxCallOutcome::kThrottled:
       // An earlier call that got no answer may have taken the box down.
-      if (!upkeep.may_have_begun)
-        upkeep.state = UpkeepState::kPending;
-      upkeep.next_call_at = now + kCallRetryDelay;
+      if (!maintenance.may_have_begun)
+        maintenance.state = MaintenanceState::kPending;
+      maintenance.next_call_at = now + kCallRetryDelay;
       break;
   }
 }
@@ -150,9 +153,9 @@
       .wave = progress.wave.number,
       .state = progress.completed ? WaveState::kCompleted : WaveState::kRunning,
       .begun = {}};
-  for (const auto& [box, upkeep] : progress.boxes) {
-    if (upkeep.state == UpkeepState::kDown ||
-        upkeep.state == UpkeepState::kDone)
+  for (const auto& [box, maintenance] : progress.boxes) {
+    if (maintenance.state == MaintenanceState::kDown ||
+        maintenance.state == MaintenanceState::kDone)
       report.begun.push_back(box);
   }
   return report;
@@ -188,20 +191,23 @@
                                                  const BoxesByName& boxes,
                                                  base::Micros now) const {
   WaveCounts counts;
-  for (auto& [name, upkeep] : progress.boxes) {
+  for (auto& [name, maintenance] : progress.boxes) {
     const auto found = boxes.find(name);
     const FleetBox* box = found == boxes.end() ? nullptr : found->second;
-    const bool evacuating = upkeep.state == UpkeepState::kEvacuating;
-    counts.all_done = counts.all_done && upkeep.state == UpkeepState::kDone;
-    counts.away += evacuating || upkeep.state == UpkeepState::kRequested ||
-                   upkeep.state == UpkeepState::kDown;
+    const bool evacuating = maintenance.state == MaintenanceState::kEvacuating;
+    counts.all_done =
+        counts.all_done && maintenance.state == MaintenanceState::kDone;
+    counts.away += evacuating ||
+                   maintenance.state == MaintenanceState::kRequested ||
+                   maintenance.state == MaintenanceState::kDown;
     counts.pinned_evacuating +=
         evacuating && box && box->long_running_tasks > 0;
-    const bool can_go = upkeep.state == UpkeepState::kPending && box &&
-                        box->available && now >= upkeep.next_call_at &&
+    const bool can_go = maintenance.state == MaintenanceState::kPending &&
+                        box && box->available &&
+                        now >= maintenance.next_call_at &&
                         !this->moves.contains(name);
     if (can_go)
-      counts.pending.emplace_back(box, &upkeep);
+      counts.pending.emplace_back(box, &maintenance);
   }
   return counts;
 }
@@ -219,36 +225,37 @@
                        return x.long_running_tasks < y.long_running_tasks;
                      return x.busy_cores < y.busy_cores;
                    });
-  const auto take = [&](Upkeep& upkeep) {
-    upkeep.state = UpkeepState::kEvacuating;
-    upkeep.since = now;
+  const auto take = [&](Maintenance& maintenance) {
+    maintenance.state = MaintenanceState::kEvacuating;
+    maintenance.since = now;
     ++counts.away;
   };
   const int max_pinned = wave.max_concurrent / kPinnedDivisor;
-  for (const auto& [box, upkeep] : counts.pending) {
+  for (const auto& [box, maintenance] : counts.pending) {
     if (counts.away >= wave.max_concurrent ||
         counts.pinned_evacuating >= max_pinned)
       break;
     if (box->long_running_tasks == 0)
       continue;
-    take(*upkeep);
+    take(*maintenance);
     ++counts.pinned_evacuating;
   }
-  for (const auto& [box, upkeep] : counts.pending) {
+  for (const auto& [box, maintenance] : counts.pending) {
     if (counts.away >= wave.max_concurrent)
       break;
-    if (upkeep->state == UpkeepState::kPending)
-      take(*upkeep);
+    if (maintenance->state == MaintenanceState::kPending)
+      take(*maintenance);
   }
 }
 
 // Takes over a previous owner's call. Returns false while its state is unknown.
-bool FleetPlanner::ResolveInherited(Upkeep& upkeep, InheritedCall inherited) {
+bool FleetPlanner::ResolveInherited(Maintenance& maintenance,
+                                    InheritedCall inherited) {
   if (inherited == InheritedCall::kUnresolved)
     return false;
-  upkeep.is_inherited = false;
+  maintenance.is_inherited = false;
   if (inherited == InheritedCall::kObsolete)
-    upkeep.state = UpkeepState::kEvacuating;
+    maintenance.state = MaintenanceState::kEvacuating;
   return true;
 }
 
@@ -256,43 +263,44 @@
                                      const BoxesByName& boxes,
                                      base::Micros now,
                                      std::vector<FleetAction>& actions) {
-  for (auto& [name, upkeep] : progress.boxes) {
+  for (auto& [name, maintenance] : progress.boxes) {
     const auto found = boxes.find(name);
     const bool is_available = found != boxes.end() && found->second->available;
-    if (upkeep.is_inherited &&
-        !ResolveInherited(upkeep, ClassifyInherited(boxes, name)))
+    if (maintenance.is_inherited &&
+        !ResolveInherited(maintenance, ClassifyInherited(boxes, name)))
       continue;
-    if (upkeep.state == UpkeepState::kEvacuating && !is_available) {
-      upkeep.state = UpkeepState::kPending;
+    if (maintenance.state == MaintenanceState::kEvacuating && !is_available) {
+      maintenance.state = MaintenanceState::kPending;
       continue;
     }
-    const bool empty = upkeep.state == UpkeepState::kEvacuating &&
+    const bool empty = maintenance.state == MaintenanceState::kEvacuating &&
                        is_available && found->second->idle;
-    const bool is_retry = upkeep.state == UpkeepState::kRequested;
+    const bool is_retry = maintenance.state == MaintenanceState::kRequested;
     if ((empty || is_retry) &&
-        MayCall(upkeep.in_flight, upkeep.next_call_at, now)) {
+        MayCall(maintenance.in_flight, maintenance.next_call_at, now)) {
       if (empty) {
-        upkeep.worker_before_call = found->second->worker;
-        upkeep.first_call_at = now;
+        maintenance.worker_before_call = found->second->worker;
+        maintenance.first_call_at = now;
       }
-      upkeep.state = UpkeepState::kRequested;
-      upkeep.in_flight = true;
-      actions.emplace_back(MaintainBox{.box = name,
-                                       .wave = progress.wave.number,
-                                       .life = upkeep.worker_before_call});
-    } else if (upkeep.state == UpkeepState::kEvacuating) {
+      maintenance.state = MaintenanceState::kRequested;
+      maintenance.in_flight = true;
+      actions.emplace_back(
+          MaintainBox{.box = name,
+                      .wave = progress.wave.number,
+                      .incarnation = maintenance.worker_before_call});
+    } else if (maintenance.state == MaintenanceState::kEvacuating) {
       actions.emplace_back(EvacuateBox{.box = name});
     }
   }
 }
 
-bool FleetPlanner::IsInUpkeep(const std::string& box) const {
+bool FleetPlanner::IsInMaintenance(const std::string& box) const {
   for (const auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
     if (found == progress.boxes.end())
       continue;
-    const UpkeepState state = found->second.state;
-    if (state != UpkeepState::kPending && state != UpkeepState::kDone)
+    const MaintenanceState state = found->second.state;
+    if (state != MaintenanceState::kPending && state != MaintenanceState::kDone)
       return true;
   }
   return false;
--- a/scheduler/inheritance.cc
+++ b/scheduler/inheritance.cc
@@ -13,12 +13,12 @@
 void Scheduler::InheritRuns(Job& job, base::Micros now) {
   std::vector<std::pair<TaskPosition, jobs::Placement>> lost;
   for (const auto& [key, placement] : job.progress.placed) {
-    const TaskPosition place{.occurrence = key.step.occurrence,
-                             .step = key.step.step,
-                             .index = key.index};
-    if (!HasTask(job, place))
+    const TaskPosition position{.occurrence = key.step.occurrence,
+                                .step = key.step.step,
+                                .index = key.index};
+    if (!HasTask(job, position))
       continue;
-    Task& task = TaskAt(job, place);
+    Task& task = TaskAt(job, position);
     if (EpochOf(placement.run) < this->limits.epoch)
       task.inherited_run = std::max(task.inherited_run, placement.run);
     if (task.state == TaskState::kDone || task.state == TaskState::kPlaced)
@@ -28,31 +28,31 @@
     // A worker that is in no owner's list of lease holders has no lease.
     if (!worker) {
       if (EpochOf(placement.run) < this->limits.epoch)
-        lost.push_back({place, placement});
+        lost.push_back({position, placement});
       continue;
     }
-    if (worker->has_listing)
+    if (worker->has_reported)
       continue;
     task.state = TaskState::kPlaced;
     task.run = placement.run;
-    task.worker = worker->info.life;
-    this->InheritRun(job, place, placement.run, *worker, now);
+    task.worker = worker->info.incarnation;
+    this->InheritRun(job, position, placement.run, *worker, now);
   }
-  for (const auto& [place, placement] : lost)
-    this->RecordUnobservedLoss(job, place, placement, now);
+  for (const auto& [position, placement] : lost)
+    this->RecordUnobservedLoss(job, position, placement, now);
   this->InheritStops(job, now);
 }
 
 void Scheduler::InheritRun(Job& job,
-                           const TaskPosition& place,
+                           const TaskPosition& position,
                            int number,
                            Worker& worker,
                            base::Micros now) {
   Run run =
-      this->MakeRun(job, StepOf(job, place), number, RunState::kInherited);
+      this->MakeRun(job, StepOf(job, position), number, RunState::kInherited);
   run.decided_at = now;
   run.adopted = true;
-  AddRun(worker, IdOf(job, place), std::move(run));
+  AddRun(worker, IdOf(job, position), std::move(run));
 }
 
 // A run that an earlier owner was stopping uses resources until it ends,
@@ -61,17 +61,18 @@
 void Scheduler::InheritStops(Job& job, base::Micros now) {
   const auto stopping = job.progress.stopping;
   for (const auto& [key, placement] : stopping) {
-    const TaskPosition place{.occurrence = key.step.occurrence,
-                             .step = key.step.step,
-                             .index = key.index};
+    const TaskPosition position{.occurrence = key.step.occurrence,
+                                .step = key.step.step,
+                                .index = key.index};
     Worker* worker = this->FindHolder(placement.worker);
-    const bool is_known = HasTask(job, place) && worker &&
-                          worker->runs.contains(IdOf(job, place));
+    const bool is_known = HasTask(job, position) && worker &&
+                          worker->runs.contains(IdOf(job, position));
     if (is_known)
       continue;
-    const bool may_run = HasTask(job, place) && worker && !worker->has_listing;
+    const bool may_run =
+        HasTask(job, position) && worker && !worker->has_reported;
     if (may_run) {
-      this->InheritRun(job, place, placement.run, *worker, now);
+      this->InheritRun(job, position, placement.run, *worker, now);
     } else {
       job.progress.stopping.erase(key);
       this->MarkChanged(job);
--- a/scheduler/job.cc
+++ b/scheduler/job.cc
@@ -74,9 +74,9 @@
   return job;
 }
 
-jobs::TaskKey KeyOf(const TaskPosition& place) {
-  return {.step = {.occurrence = place.occurrence, .step = place.step},
-          .index = place.index};
+jobs::TaskKey KeyOf(const TaskPosition& position) {
+  return {.step = {.occurrence = position.occurrence, .step = position.step},
+          .index = position.index};
 }
 
 TaskPosition PositionOf(const jobs::TaskId& task) {
@@ -84,38 +84,39 @@
       .occurrence = task.occurrence, .step = task.step, .index = task.index};
 }
 
-jobs::TaskId IdOf(const Job& job, const TaskPosition& place) {
+jobs::TaskId IdOf(const Job& job, const TaskPosition& position) {
   return {.job = job.id,
-          .occurrence = place.occurrence,
-          .step = place.step,
-          .index = place.index};
-}
-
-bool HasTask(const Job& job, const TaskPosition& place) {
-  const auto k = static_cast<std::size_t>(place.occurrence);
-  const auto s = static_cast<std::size_t>(place.step);
-  const auto i = static_cast<std::size_t>(place.index);
-  return place.occurrence >= 0 && place.step >= 0 && place.index >= 0 &&
-         k < job.occurrences.size() && s < job.occurrences[k].steps.size() &&
+          .occurrence = position.occurrence,
+          .step = position.step,
+          .index = position.index};
+}
+
+bool HasTask(const Job& job, const TaskPosition& position) {
+  const auto k = static_cast<std::size_t>(position.occurrence);
+  const auto s = static_cast<std::size_t>(position.step);
+  const auto i = static_cast<std::size_t>(position.index);
+  return position.occurrence >= 0 && position.step >= 0 &&
+         position.index >= 0 && k < job.occurrences.size() &&
+         s < job.occurrences[k].steps.size() &&
          i < job.occurrences[k].steps[s].tasks.size();
 }
 
-const StepState& StepAt(const Job& job, const TaskPosition& place) {
-  return job.occurrences[static_cast<std::size_t>(place.occurrence)]
-      .steps[static_cast<std::size_t>(place.step)];
+const StepState& StepAt(const Job& job, const TaskPosition& position) {
+  return job.occurrences[static_cast<std::size_t>(position.occurrence)]
+      .steps[static_cast<std::size_t>(position.step)];
 }
 
-StepState& StepAt(Job& job, const TaskPosition& place) {
-  return job.occurrences[static_cast<std::size_t>(place.occurrence)]
-      .steps[static_cast<std::size_t>(place.step)];
+StepState& StepAt(Job& job, const TaskPosition& position) {
+  return job.occurrences[static_cast<std::size_t>(position.occurrence)]
+      .steps[static_cast<std::size_t>(position.step)];
 }
 
-Task& TaskAt(Job& job, const TaskPosition& place) {
-  return StepAt(job, place).tasks[static_cast<std::size_t>(place.index)];
+Task& TaskAt(Job& job, const TaskPosition& position) {
+  return StepAt(job, position).tasks[static_cast<std::size_t>(position.index)];
 }
 
-const jobs::Step& StepOf(const Job& job, const TaskPosition& place) {
-  return job.spec.steps[static_cast<std::size_t>(place.step)];
+const jobs::Step& StepOf(const Job& job, const TaskPosition& position) {
+  return job.spec.steps[static_cast<std::size_t>(position.step)];
 }
 
 jobs::Resources ReservedBy(const jobs::Step& step) {
--- a/scheduler/job.h
+++ b/scheduler/job.h
@@ -116,7 +116,7 @@
 };
 
 struct PendingStart {
-  TaskPosition place;
+  TaskPosition position;
   int run = 0;
   std::uint64_t change = 0;
 };
@@ -130,9 +130,9 @@
   std::vector<Occurrence> occurrences;
   base::Micros accepted_at{};
   JobTimings timings;
-  bool exceeds_share = false;  // its organisation had used up its fair share
-  bool has_started = false;    // a worker has confirmed a start
-  bool cancelled = false;      // recorded, perhaps not yet executed
+  bool is_over_rate = false;  // its organisation had used up its fair share
+  bool has_started = false;   // a worker has confirmed a start
+  bool cancelled = false;     // recorded, perhaps not yet executed
   // Runs whose placement is being saved, with the change that contains it.
   // Their starts are sent once that change is saved.
   std::vector<PendingStart> pending_starts;
@@ -170,16 +170,16 @@
 }
 
 // Key of the task in the job's stored progress.
-jobs::TaskKey KeyOf(const TaskPosition& place);
+jobs::TaskKey KeyOf(const TaskPosition& position);
 TaskPosition PositionOf(const jobs::TaskId& task);
-jobs::TaskId IdOf(const Job& job, const TaskPosition& place);
+jobs::TaskId IdOf(const Job& job, const TaskPosition& position);
 // Whether the job contains this task.
-bool HasTask(const Job& job, const TaskPosition& place);
+bool HasTask(const Job& job, const TaskPosition& position);
 
-StepState& StepAt(Job& job, const TaskPosition& place);
-const StepState& StepAt(const Job& job, const TaskPosition& place);
-Task& TaskAt(Job& job, const TaskPosition& place);
-const jobs::Step& StepOf(const Job& job, const TaskPosition& place);
+StepState& StepAt(Job& job, const TaskPosition& position);
+const StepState& StepAt(const Job& job, const TaskPosition& position);
+Task& TaskAt(Job& job, const TaskPosition& position);
+const jobs::Step& StepOf(const Job& job, const TaskPosition& position);
 
 // Resources that a task of the step reserves on its worker.
 jobs::Resources ReservedBy(const jobs::Step& step);
--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -27,7 +27,7 @@
 BOOST_AUTO_TEST_CASE(FailedJobStopsItsTasksOnceThatIsRecorded) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   jobs::Queue queue;
   queue.name = "queue";
   queue.service = "pool";
@@ -43,18 +43,18 @@
     start.task.index = index;
     bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   }
-  bench.List("w",
-             {.clock_ms = 0,
-              .running = {{.task = {.job = "job", .index = 1},
+  bench.Report("w",
+               {.clock_ms = 0,
+                .running = {{.task = {.job = "job", .index = 1},
+                             .run = first.run,
+                             .checkpoint = "",
+                             .percent = 10}},
+                .ended = {{.sequence = 1,
+                           .task = FirstTask("job"),
                            .run = first.run,
-                           .checkpoint = "",
-                           .percent = 10}},
-              .ended = {{.sequence = 1,
-                         .task = FirstTask("job"),
-                         .run = first.run,
-                         .reason = RunEndReason::kFailed,
-                         .checkpoint = ""}}},
-             bench.now + seconds(4));
+                           .reason = RunEndReason::kFailed,
+                           .checkpoint = ""}}},
+               bench.now + seconds(4));
   const std::vector<Action> actions = bench.Turn();
   const auto saves = Only<SaveProgress>(actions);
   BOOST_REQUIRE(saves.size() == 1U);
@@ -70,8 +70,8 @@
 BOOST_AUTO_TEST_CASE(CancelledJobStopsItsTasksAtOnce) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
-  bench.AddJob("job", Bench::OneLastingTask());
+  bench.Report("w", {});
+  bench.AddJob("job", Bench::OneLongRunningTask());
   const StartRun start = bench.NextStart();
   bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   bench.scheduler.CancelJob("job", bench.now);
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -24,7 +24,7 @@
 
 // Makes the step small enough for all lasting tasks and any other task to fit
 // on two workers.
-void MakeLasting(jobs::Step& step) {
+void MakeLongRunning(jobs::Step& step) {
   step.lasting = true;
   step.each = {.cpu_millis = 50, .memory_mb = 100, .gpus = 0};
 }
@@ -43,7 +43,7 @@
           MakeStep(*rc::gen::inRange(1, 4), *rc::gen::inRange(500, 2500)));
       job.spec.steps.back().after = {0};
     } else if (*rc::gen::arbitrary<bool>()) {
-      MakeLasting(job.spec.steps.back());
+      MakeLongRunning(job.spec.steps.back());
     }
     jobs.push_back(job);
   }
@@ -56,8 +56,8 @@
   };
   ModelFaults faults;
   faults.lost_answer = odds(150);
-  faults.lost_order = odds(150);
-  faults.late_order = odds(100);
+  faults.lost_command = odds(150);
+  faults.late_command = odds(100);
   faults.lost_save = odds(200);
   faults.late_save = odds(100);
   faults.crash = odds(100);
@@ -77,7 +77,7 @@
   return text;
 }
 
-bool IsLasting(const ModelJob& job) {
+bool IsLongRunning(const ModelJob& job) {
   return job.spec.steps.back().lasting;
 }
 
@@ -106,7 +106,7 @@
   ModelJob job;
   job.id = "lasting";
   job.spec.steps = {MakeStep(2, 1000)};
-  MakeLasting(job.spec.steps[0]);
+  MakeLongRunning(job.spec.steps[0]);
   SchedulerModel model(1, {}, 3, {job});
   model.RunFor(seconds(3));
   BOOST_REQUIRE(model.RunningTasks("lasting") == 2);
@@ -161,7 +161,7 @@
     RC_LOG() << Joined(model.violations()) << model.History();
     RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
     }
   });
@@ -186,7 +186,7 @@
           RC_LOG() << job.id << " is "
                    << base::NameOf(jobs::kJobStateNames, model.StateOf(job.id))
                    << " after " << model.takeovers() << " takeovers\n";
-          if (IsLasting(job)) {
+          if (IsLongRunning(job)) {
             const int missing =
                 job.spec.steps.back().tasks - model.RunningTasks(job.id);
             RC_ASSERT(missing >= 0);
@@ -205,7 +205,7 @@
         std::vector<ModelJob> jobs = DrawJobs(2);
         for (ModelJob& job : jobs) {
           if (job.spec.steps.size() == 1)
-            MakeLasting(job.spec.steps.front());
+            MakeLongRunning(job.spec.steps.front());
         }
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
         SchedulerModel model(seed, DrawFaults(), 3, jobs);
@@ -229,13 +229,13 @@
 // the lasting job allow.
 BOOST_AUTO_TEST_CASE(OwnersThatStandStillTakeNoMoreThanMayBeAway) {
   const bool holds = rc::check("no more is away than allowed", [] {
-    ModelJob lasting;
-    lasting.id = "lasting";
-    lasting.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
-    MakeLasting(lasting.spec.steps[0]);
-    lasting.spec.steps[0].most_per_worker = 1;
-    lasting.spec.steps[0].may_be_away = 1;
-    std::vector<ModelJob> jobs = {lasting};
+    ModelJob long_running;
+    long_running.id = "lasting";
+    long_running.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
+    MakeLongRunning(long_running.spec.steps[0]);
+    long_running.spec.steps[0].most_per_worker = 1;
+    long_running.spec.steps[0].may_be_away = 1;
+    std::vector<ModelJob> jobs = {long_running};
     for (int i = 0; i < 3; ++i) {
       ModelJob job;
       job.id = "urgent" + std::to_string(i);
@@ -263,8 +263,9 @@
     model.RunFor(seconds(60));
     RC_LOG() << Joined(model.violations()) << model.History();
     RC_ASSERT(model.violations().empty());
-    RC_ASSERT(model.UpkeepsDone() > 0);
-    RC_ASSERT(model.RunningTasks(lasting.id) == lasting.spec.steps[0].tasks);
+    RC_ASSERT(model.MaintainedBoxes() > 0);
+    RC_ASSERT(model.RunningTasks(long_running.id) ==
+              long_running.spec.steps[0].tasks);
   });
   BOOST_TEST(holds);
 }
@@ -280,7 +281,7 @@
     faults.takeover = *rc::gen::inRange(0, 200) / 1000.0;
     faults.owner_pause = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_answer = *rc::gen::inRange(0, 150) / 1000.0;
-    faults.lost_order = *rc::gen::inRange(0, 100) / 1000.0;
+    faults.lost_command = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_save = *rc::gen::inRange(0, 200) / 1000.0;
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     SchedulerModel model(seed, faults, *rc::gen::inRange(2, 6), jobs);
@@ -290,7 +291,7 @@
     RC_LOG() << Joined(model.violations()) << model.History();
     RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
     }
   });
@@ -309,9 +310,9 @@
             ModelJob job;
             job.id = "cancelled";
             job.spec.steps = {MakeStep(*rc::gen::inRange(1, 6), 1000)};
-            MakeLasting(job.spec.steps[0]);
+            MakeLongRunning(job.spec.steps[0]);
             ModelFaults faults;
-            faults.late_order = late;
+            faults.late_command = late;
             const auto seed = *rc::gen::arbitrary<std::uint64_t>();
             SchedulerModel model(seed, faults, 4, {job});
             model.RunFor(
--- a/scheduler/pacing.cc
+++ b/scheduler/pacing.cc
@@ -52,7 +52,7 @@
     if (pace == run.pace)
       continue;
     run.pace = pace;
-    this->actions.emplace_back(ThrottleRun{.worker = worker.info.life,
+    this->actions.emplace_back(ThrottleRun{.worker = worker.info.incarnation,
                                            .task = task,
                                            .run = run.number,
                                            .percent = pace});
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -14,11 +14,11 @@
 
 // After this many steps that cannot be placed the rest of the pool's queue
 // waits for the next turn. This bounds a turn's duration under overload.
-constexpr int kMaxMissesPerTurn = 24;
+constexpr int kMaxMissesPerPass = 24;
 
 // Upper bound on the time a start order waits to be sent. Until then the run
 // counts as covered by a lease.
-constexpr base::Micros kMaxOrderQueueTime = std::chrono::seconds(1);
+constexpr base::Micros kMaxCommandQueueTime = std::chrono::seconds(1);
 
 // Weights of a worker's cost for a task; the worker with the lowest sum is
 // chosen. A task that failed on a worker goes elsewhere if any other worker has
@@ -102,7 +102,7 @@
   }
 
   int CountOnWorker(const Worker& worker) const {
-    return Count(this->per_worker, worker.info.life);
+    return Count(this->per_worker, worker.info.incarnation);
   }
   // Tasks on other workers of the same rack.
   int CountElsewhereOnRack(const Worker& worker) const {
@@ -124,11 +124,11 @@
 // Whether a worker on this box was lost while it ran the task. The box may be
 // the cause, which a run on another box shows.
 bool WorkerWasLostOn(const jobs::Progress& progress,
-                     const TaskPosition& place,
+                     const TaskPosition& position,
                      const std::string& box) {
   if (progress.losses.empty())
     return false;
-  const auto found = progress.losses.find(KeyOf(place));
+  const auto found = progress.losses.find(KeyOf(position));
   return found != progress.losses.end() &&
          std::any_of(
              found->second.begin(), found->second.end(),
@@ -164,7 +164,7 @@
 }  // namespace
 
 bool Scheduler::IsUsable(const Worker& worker, base::Micros now) const {
-  return worker.has_listing && worker.is_lease_recorded &&
+  return worker.has_reported && worker.is_lease_recorded &&
          worker.is_announced && worker.is_described &&
          !worker.may_have_restarted && !worker.info.draining &&
          worker.failed_calls == 0 && now >= worker.quarantined_until &&
@@ -174,26 +174,27 @@
 // A later owner may have renewed a lease that this owner sees as expired,
 // unless the store has confirmed this ownership since.
 bool Scheduler::LeaseMayHaveBeenRenewed(const Job& job,
-                                        const TaskPosition& place) const {
-  const StepState& runs = StepAt(job, place);
-  const bool gang = StepOf(job, place).gang;
+                                        const TaskPosition& position) const {
+  const StepState& runs = StepAt(job, position);
+  const bool gang = StepOf(job, position).gang;
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
-    const bool counts = gang || static_cast<int>(i) == place.index;
+    const bool counts = gang || static_cast<int>(i) == position.index;
     if (counts && runs.tasks[i].lease_expired_at > this->confirmed_at)
       return true;
   }
   return false;
 }
 
-int Scheduler::NextRunNumber(const Job& job, const TaskPosition& place) const {
-  const StepState& runs = StepAt(job, place);
+int Scheduler::NextRunNumber(const Job& job,
+                             const TaskPosition& position) const {
+  const StepState& runs = StepAt(job, position);
   int newest = 0;
   // The members of a gang share the run number.
-  if (StepOf(job, place).gang) {
+  if (StepOf(job, position).gang) {
     for (const Task& task : runs.tasks)
       newest = std::max(newest, task.latest_run);
   } else {
-    newest = runs.tasks[static_cast<std::size_t>(place.index)].latest_run;
+    newest = runs.tasks[static_cast<std::size_t>(position.index)].latest_run;
   }
   const auto first =
       static_cast<int>((this->limits.epoch - 1) * kRunsPerEpoch) + 1;
@@ -212,48 +213,48 @@
                           ReadyTasks& tasks,
                           base::Micros now) {
   // 1. Collect the pool's usable workers.
-  PlacementPass turn;
+  PlacementPass pass;
   for (auto& [id, worker] : this->workers) {
     if (worker.info.service == service && this->IsUsable(worker, now))
-      turn.candidates.push_back(&worker);
+      pass.candidates.push_back(&worker);
   }
-  if (turn.candidates.empty())
+  if (pass.candidates.empty())
     return;
   // 2. Attempt the pool's ready tasks in scheduling order.
   tasks.TryInOrder(now, [&](const ReadyTask& task) {
-    return this->TryPlace(task, turn, now);
+    return this->TryPlace(task, pass, now);
   });
 }
 
 // After one task of a step fits no worker, the step's other tasks are skipped
 // for this turn: they have the same requirements.
 ReadyTasks::AttemptResult Scheduler::TryPlace(const ReadyTask& task,
-                                              PlacementPass& turn,
+                                              PlacementPass& pass,
                                               base::Micros now) {
   using AttemptResult = ReadyTasks::AttemptResult;
-  if (turn.misses >= kMaxMissesPerTurn)
+  if (pass.misses >= kMaxMissesPerPass)
     return AttemptResult::kStop;
   Job& job = *task.job;
   const bool is_startable =
-      !job.finished() && TaskAt(job, task.place).state == TaskState::kReady;
+      !job.finished() && TaskAt(job, task.position).state == TaskState::kReady;
   if (!is_startable)
     return AttemptResult::kObsolete;
-  const auto step = std::make_pair(&job, task.place.step);
-  const auto nowhere = turn.unplaceable_steps.find(step);
-  if (nowhere != turn.unplaceable_steps.end()) {
-    TaskAt(job, task.place).wait_reason = nowhere->second;
+  const auto step = std::make_pair(&job, task.position.step);
+  const auto nowhere = pass.unplaceable_steps.find(step);
+  if (nowhere != pass.unplaceable_steps.end()) {
+    TaskAt(job, task.position).wait_reason = nowhere->second;
     return AttemptResult::kKept;
   }
-  const Suspicion suspicion = this->SuspicionOfStart(job, task.place, now);
+  const Suspicion suspicion = this->SuspicionOfStart(job, task.position, now);
   if (suspicion == Suspicion::kGiveUp) {
     this->GiveUpCrashingTasks(job, now);
     return AttemptResult::kObsolete;
   }
   const std::optional<WaitReason> reason =
-      this->PlaceTask(task, suspicion, turn.candidates, now);
+      this->PlaceTask(task, suspicion, pass.candidates, now);
   if (!reason)
     return AttemptResult::kPlaced;
-  TaskAt(job, task.place).wait_reason = *reason;
+  TaskAt(job, task.position).wait_reason = *reason;
   // A task that waits for quota, or for an idle worker because it is a suspect,
   // says nothing about other tasks: it neither blocks its step nor counts as a
   // miss.
@@ -261,8 +262,8 @@
       *reason == WaitReason::kQuota || *reason == WaitReason::kSuspect;
   if (blocks_only_itself)
     return AttemptResult::kKept;
-  turn.unplaceable_steps[step] = *reason;
-  ++turn.misses;
+  pass.unplaceable_steps[step] = *reason;
+  ++pass.misses;
   return AttemptResult::kKept;
 }
 
@@ -273,24 +274,24 @@
     const std::vector<Worker*>& candidates,
     base::Micros now) {
   Job& job = *ready_task.job;
-  const jobs::Step& step = StepOf(job, ready_task.place);
+  const jobs::Step& step = StepOf(job, ready_task.position);
   if (suspicion >= Suspicion::kDeferred)
     return WaitReason::kSuspect;
   if (!this->quotas.Allows(job.organisation, QuotaNeededBy(step)))
     return WaitReason::kQuota;
-  if (this->LeaseMayHaveBeenRenewed(job, ready_task.place))
+  if (this->LeaseMayHaveBeenRenewed(job, ready_task.position))
     return WaitReason::kLease;
   if (job.queue.advice.required &&
-      !this->EnsureAdvice(job, ready_task.place, candidates, now))
+      !this->EnsureAdvice(job, ready_task.position, candidates, now))
     return WaitReason::kAdvice;
   const std::vector<Assignment> choices =
-      this->ChooseWorkers(job, ready_task.place, candidates, now);
+      this->ChooseWorkers(job, ready_task.position, candidates, now);
   if (choices.empty() && suspicion == Suspicion::kProbe)
     return WaitReason::kSuspect;
   if (choices.empty())
     return this->HasSuitableWorker(step) ? WaitReason::kCapacity
                                          : WaitReason::kNoSuitableWorker;
-  const int run = this->NextRunNumber(job, ready_task.place);
+  const int run = this->NextRunNumber(job, ready_task.position);
   for (const Assignment& choice : choices)
     this->PlanRun(job, choice, run, now);
   return std::nullopt;
@@ -317,25 +318,25 @@
 // nothing if the task or any member fits no worker.
 std::vector<Scheduler::Assignment> Scheduler::ChooseWorkers(
     const Job& job,
-    const TaskPosition& place,
+    const TaskPosition& position,
     const std::vector<Worker*>& candidates,
     base::Micros now) const {
-  const jobs::Step& step = StepOf(job, place);
-  const StepState& runs = StepAt(job, place);
+  const jobs::Step& step = StepOf(job, position);
+  const StepState& runs = StepAt(job, position);
   const jobs::Resources takes = ReservedBy(step);
   const StepDistribution distribution(step, runs, this->workers);
   std::vector<Assignment> choices;
   // For the gang members chosen so far.
   std::map<const Worker*, GangAllocation> allocations;
-  const int first = step.gang ? 0 : place.index;
+  const int first = step.gang ? 0 : position.index;
   const int last =
-      step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
+      step.gang ? static_cast<int>(runs.tasks.size()) - 1 : position.index;
   for (int i = first; i <= last; ++i) {
     const Task& task = runs.tasks[static_cast<std::size_t>(i)];
     if (task.state != TaskState::kReady)
       continue;
     const TaskPosition member{
-        .occurrence = place.occurrence, .step = place.step, .index = i};
+        .occurrence = position.occurrence, .step = position.step, .index = i};
     const Suspicion suspicion = this->SuspicionOf(job, member, now);
     const bool must_run_alone = suspicion == Suspicion::kProbe;
     const bool waits_for_idle =
@@ -362,7 +363,7 @@
       if (conflicts_with_probe)
         continue;
       if (job.queue.advice.required &&
-          !runs.advice.tickets.contains(worker->info.life))
+          !runs.advice.tickets.contains(worker->info.incarnation))
         continue;
       if (step.most_per_worker > 0 &&
           distribution.CountOnWorker(*worker) + allocated.members >=
@@ -372,7 +373,7 @@
       double cost =
           WorkerCost(*worker, now) + ColocationCost(*worker, suspicion);
       if (std::find(task.failed_on.begin(), task.failed_on.end(),
-                    worker->info.life) != task.failed_on.end() ||
+                    worker->info.incarnation) != task.failed_on.end() ||
           WorkerWasLostOn(job.progress, member, worker->info.box))
         cost += kFailedHereCost;
       if (!step.rack.empty() && worker->info.rack != step.rack)
@@ -387,7 +388,7 @@
             kSameStepOnRackCost * distribution.CountElsewhereOnRack(*worker);
       // A long-running task pins its box to the pool. Concentrate such tasks on
       // few boxes and fill these first, so that the other boxes can move.
-      if (worker->lasting_runs > 0)
+      if (worker->long_running_tasks > 0)
         cost -= step.lasting ? kPinnedBoxBonusForLongRunning
                              : kPinnedBoxBonusForOthers;
       if (!best || cost < best_cost) {
@@ -403,7 +404,7 @@
       ++allocated.members;
       allocated.has_probe = must_run_alone;
     }
-    choices.push_back({.place = member, .worker = best});
+    choices.push_back({.position = member, .worker = best});
   }
   return choices;
 }
@@ -417,7 +418,7 @@
   run.quota_usage = step.each;
   run.organisation_usage = &this->quotas.UsageOf(job.organisation);
   run.image = step.image;
-  run.lasting = step.lasting;
+  run.is_long_running = step.lasting;
   run.fills = step.fills;
   run.target_ms = step.target_ms;
   return run;
@@ -427,31 +428,31 @@
                         const Assignment& choice,
                         int run_number,
                         base::Micros now) {
-  const jobs::Step& step = StepOf(job, choice.place);
-  Task& task = TaskAt(job, choice.place);
+  const jobs::Step& step = StepOf(job, choice.position);
+  Task& task = TaskAt(job, choice.position);
   Worker& worker = *choice.worker;
-  JobTimings& story = job.timings;
-  if (!story.first_placed)
-    story.first_placed = now - job.accepted_at;
-  story.longest_wait = std::max(story.longest_wait, now - task.ready_since);
-  ++story.runs;
+  JobTimings& timings = job.timings;
+  if (!timings.first_placed)
+    timings.first_placed = now - job.accepted_at;
+  timings.longest_wait = std::max(timings.longest_wait, now - task.ready_since);
+  ++timings.runs;
   task.state = TaskState::kPlaced;
-  task.worker = worker.info.life;
+  task.worker = worker.info.incarnation;
   task.run = run_number;
   task.latest_run = run_number;
   task.is_serving = false;
   Run run = this->MakeRun(job, step, run_number, RunState::kPlanned);
   run.decided_at = now;
-  run.suspicion = this->SuspicionOf(job, choice.place, now);
-  this->RecordLastTry(job, choice.place, run_number);
-  const jobs::TaskId id = IdOf(job, choice.place);
+  run.suspicion = this->SuspicionOf(job, choice.position, now);
+  this->RecordLastTry(job, choice.position, run_number);
+  const jobs::TaskId id = IdOf(job, choice.position);
   AddRun(worker, id, std::move(run));
-  job.progress.placed[KeyOf(choice.place)] = {.worker = worker.info.life,
-                                              .run = run_number};
+  job.progress.placed[KeyOf(choice.position)] = {
+      .worker = worker.info.incarnation, .run = run_number};
   this->MarkChanged(job);
   this->save_immediately = true;
   job.pending_starts.push_back(
-      {.place = choice.place, .run = run_number, .change = job.change});
+      {.position = choice.position, .run = run_number, .change = job.change});
 }
 
 void Scheduler::StartSavedPlacements(Job& job, base::Micros now) {
@@ -461,13 +462,13 @@
       not_yet_saved.push_back(start);
       continue;
     }
-    const Task& task = TaskAt(job, start.place);
+    const Task& task = TaskAt(job, start.position);
     const auto found = this->workers.find(task.worker);
     if (task.state != TaskState::kPlaced || task.run != start.run ||
         found == this->workers.end())
       continue;
     Worker& worker = found->second;
-    const jobs::TaskId id = IdOf(job, start.place);
+    const jobs::TaskId id = IdOf(job, start.position);
     const auto run = worker.runs.find(id);
     if (run == worker.runs.end() || run->second.state != RunState::kPlanned)
       continue;
@@ -482,16 +483,16 @@
     run->second.decided_at = now;
     // The start order grants a lease when it is sent.
     worker.latest_lease_end =
-        std::max(worker.latest_lease_end, now + kMaxOrderQueueTime);
+        std::max(worker.latest_lease_end, now + kMaxCommandQueueTime);
     worker.next_poll_at = std::min(worker.next_poll_at, now);
-    const bool resumes = StepOf(job, start.place).checkpoints;
-    this->actions.emplace_back(
-        StartRun{.worker = worker.info.life,
-                 .task = id,
-                 .run = start.run,
-                 .text = job.spec.text,
-                 .checkpoint = resumes ? task.checkpoint : std::string(),
-                 .ticket = TicketFor(StepAt(job, start.place), task.worker)});
+    const bool resumes = StepOf(job, start.position).checkpoints;
+    this->actions.emplace_back(StartRun{
+        .worker = worker.info.incarnation,
+        .task = id,
+        .run = start.run,
+        .text = job.spec.text,
+        .checkpoint = resumes ? task.checkpoint : std::string(),
+        .ticket = TicketFor(StepAt(job, start.position), task.worker)});
   }
   job.pending_starts = std::move(not_yet_saved);
 }
--- a/scheduler/polls.cc
+++ b/scheduler/polls.cc
@@ -47,7 +47,7 @@
                entry.second.state == RunState::kStopping ||
                entry.second.missing_since > base::Micros::zero();
       });
-  if (!worker.has_listing || worker.idle() || worker.failed_calls > 0)
+  if (!worker.has_reported || worker.idle() || worker.failed_calls > 0)
     return {};
   if (is_unsettled)
     return kUnsettledPollWait;
@@ -66,7 +66,7 @@
   const base::Micros wait = PollWaitFor(worker);
   const bool acknowledges =
       HasUnsentAcknowledgement(worker) && CanAcknowledgeEnds(worker);
-  return {.worker = worker.info.life,
+  return {.worker = worker.info.incarnation,
           .acknowledged = acknowledges ? worker.last_recorded_end : 0,
           .max_wait = is_due ? wait : std::min(wait, spare),
           // The lease of an unresponsive worker must run out, even if the
@@ -77,25 +77,26 @@
 
 }  // namespace
 
-void Scheduler::LeaseGranted(const jobs::WorkerLife& life, base::Micros end) {
-  if (Worker* worker = this->FindIncarnation(life))
+void Scheduler::LeaseGranted(const jobs::WorkerLife& incarnation,
+                             base::Micros end) {
+  if (Worker* worker = this->FindIncarnation(incarnation))
     worker->latest_lease_end = std::max(worker->latest_lease_end, end);
 }
 
-void Scheduler::PollGrantsLease(const jobs::WorkerLife& life,
+void Scheduler::PollGrantsLease(const jobs::WorkerLife& incarnation,
                                 base::Micros end) {
-  this->LeaseGranted(life, end);
-  if (Worker* worker = this->FindIncarnation(life))
+  this->LeaseGranted(incarnation, end);
+  if (Worker* worker = this->FindIncarnation(incarnation))
     worker->poll_lease_end = end;
 }
 
-void Scheduler::PollSent(const PollWorker& order, base::Micros now) {
-  Worker* worker = this->FindIncarnation(order.worker);
+void Scheduler::PollSent(const PollWorker& command, base::Micros now) {
+  Worker* worker = this->FindIncarnation(command.worker);
   if (!worker)
     return;
   worker->poll_in_flight = true;
   worker->poll_lease_end = {};
-  worker->poll_acknowledged_end = order.acknowledged;
+  worker->poll_acknowledged_end = command.acknowledged;
   worker->poll_sent_at = now;
 }
 
@@ -103,11 +104,11 @@
   if (this->is_fenced)
     return;
   for (auto& [id, worker] : this->workers) {
-    this->AdvanceAcknowledged(worker);
+    this->AdvanceRecordedEnds(worker);
     // An unresponsive worker is polled until it answers or its life is over,
     // because nothing is placed on it before.
     const bool needs_poll =
-        !worker.has_listing || !worker.idle() || worker.failed_calls > 0 ||
+        !worker.has_reported || !worker.idle() || worker.failed_calls > 0 ||
         worker.last_recorded_end < worker.last_processed_end ||
         HasUnsentAcknowledgement(worker) || worker.may_have_restarted;
     if (!needs_poll || worker.poll_in_flight || now < worker.next_poll_at)
--- a/scheduler/pool_state.cc
+++ b/scheduler/pool_state.cc
@@ -53,23 +53,23 @@
     state.usable += this->IsUsable(worker, now);
     state.leaving += this->fleet.IsLeaving(worker.info.box);
     state.idle += worker.idle();
-    state.pinned += worker.lasting_runs > 0;
+    state.pinned += worker.long_running_tasks > 0;
     state.busy_cores += static_cast<double>(worker.used.cpu_millis) / 1000.0;
-    if (!worker.is_announced || !worker.has_listing || worker.info.draining)
+    if (!worker.is_announced || !worker.has_reported || worker.info.draining)
       continue;
     boxes.push_back(
         {.pool = &worker.info.service,
          .total = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0,
          .unused =
              static_cast<double>(worker.free_capacity().cpu_millis) / 1000.0,
-         .may_move = worker.lasting_runs == 0});
+         .may_move = worker.long_running_tasks == 0});
   }
   for (const auto& [service, tasks] : this->ready) {
     PoolState& state = states[service];
     state.pool = service;
     for (const ReadyTask& task : tasks) {
-      const jobs::Step& step = StepOf(*task.job, task.place);
-      const Task& waiting = TaskAt(*task.job, task.place);
+      const jobs::Step& step = StepOf(*task.job, task.position);
+      const Task& waiting = TaskAt(*task.job, task.position);
       if (waiting.state != TaskState::kReady)
         continue;
       const base::Micros waited = now - waiting.ready_since;
--- a/scheduler/ready_tasks.h
+++ b/scheduler/ready_tasks.h
@@ -34,7 +34,7 @@
   base::Micros firm_deadline{};
   std::uint64_t sequence = 0;  // insertion order; breaks ties
   Job* job = nullptr;          // jobs are never erased, so this stays valid
-  TaskPosition place;
+  TaskPosition position;
 
   // The deadline at which the task leaves its current class.
   base::Micros deadline() const {
--- a/scheduler/ready_tasks_test.cc
+++ b/scheduler/ready_tasks_test.cc
@@ -26,7 +26,7 @@
           .firm_deadline = seconds(5),
           .sequence = number,
           .job = &job,
-          .place = {}};
+          .position = {}};
 }
 
 // When one organisation exceeds its rate, the jobs of others within theirs go
@@ -39,11 +39,11 @@
   tasks.Insert(Waiting(jobs[2], SchedulingClass::kLate, 3));
   tasks.Insert(Waiting(jobs[3], SchedulingClass::kNotStarted, 4));
   std::vector<const Job*> tried;
-  const auto place = [&](const ReadyTask& task) {
+  const auto position = [&](const ReadyTask& task) {
     tried.push_back(task.job);
     return AttemptResult::kPlaced;
   };
-  tasks.TryInOrder(milliseconds(10), place);
+  tasks.TryInOrder(milliseconds(10), position);
   const std::vector<const Job*> expected{&jobs[3], &jobs[2], &jobs[0],
                                          &jobs[1]};
   BOOST_TEST(tried == expected, boost::test_tools::per_element());
@@ -96,7 +96,7 @@
                           .firm_deadline = this->now + 3 * kTarget - kMeanRun,
                           .sequence = ++this->number,
                           .job = &job,
-                          .place = {.index = i}});
+                          .position = {.index = i}});
     }
   }
 
@@ -108,7 +108,7 @@
          .firm_deadline = job.accepted_at + 3 * kTarget - kMeanRun,
          .sequence = ++this->number,
          .job = &job,
-         .place = {}});
+         .position = {}});
   }
 
   void Turn() {
@@ -236,7 +236,7 @@
                   .firm_deadline = now + soft_deadline + seconds(3),
                   .sequence = static_cast<std::uint64_t>(++number),
                   .job = &job,
-                  .place = {}});
+                  .position = {}});
   };
   ReadyTasks tasks;
   insert(tasks, "less urgent", 1, SchedulingClass::kNotStarted, seconds(1));
@@ -268,13 +268,14 @@
                     .firm_deadline = now + seconds(8),
                     .sequence = static_cast<std::uint64_t>(i + 1),
                     .job = job,
-                    .place = {.index = i}});
+                    .position = {.index = i}});
     }
   }
   // Place one task of the job with the later deadline.
   tasks.TryInOrder(now, [&](const ReadyTask& task) {
-    return task.job == &first && task.place.index == 0 ? AttemptResult::kPlaced
-                                                       : AttemptResult::kKept;
+    return task.job == &first && task.position.index == 0
+               ? AttemptResult::kPlaced
+               : AttemptResult::kKept;
   });
   const std::vector<std::string> wanted{"first", "second", "second"};
   BOOST_TEST(Order(tasks, now) == wanted, boost::test_tools::per_element());
--- a/scheduler/run_ends.cc
+++ b/scheduler/run_ends.cc
@@ -56,12 +56,13 @@
     const Run ended = run->second;
     RemoveRun(worker, end.task);
     Job* job = this->FindJob(end.task.job);
-    if (job && !ended.lasting) {
-      JobTimings& story = job->timings;
-      story.longest_run = std::max(story.longest_run, now - ended.decided_at);
+    if (job && !ended.is_long_running) {
+      JobTimings& timings = job->timings;
+      timings.longest_run =
+          std::max(timings.longest_run, now - ended.decided_at);
     }
     if (job && end.reason == RunEndReason::kSucceeded && !ended.adopted &&
-        !ended.lasting) {
+        !ended.is_long_running) {
       const jobs::Step& step = StepOf(*job, PositionOf(end.task));
       this->run_times.AddSample(
           step.image.empty() ? job->queue.name : step.image,
@@ -76,7 +77,7 @@
   }
   if (!HasTask(*job, PositionOf(end.task)))
     return;
-  this->ApplyRunEnd(*job, worker.info.life, end, now);
+  this->ApplyRunEnd(*job, worker.info.incarnation, end, now);
   // 3. Acknowledge the end once the job's row records it.
   worker.pending_ends.push_back(
       {.number = end.sequence, .job = job->id, .change = job->change});
@@ -86,18 +87,18 @@
                             const jobs::WorkerLife& worker,
                             const ReportedEnd& end,
                             base::Micros now) {
-  const TaskPosition place = PositionOf(end.task);
+  const TaskPosition position = PositionOf(end.task);
   job.has_started = true;
-  Task& task = TaskAt(job, place);
+  Task& task = TaskAt(job, position);
   if (!end.checkpoint.empty())
     task.checkpoint = end.checkpoint;
-  const bool lasting = StepOf(job, place).lasting;
-  const bool done = end.reason == RunEndReason::kSucceeded && !lasting;
+  const bool is_long_running = StepOf(job, position).lasting;
+  const bool done = end.reason == RunEndReason::kSucceeded && !is_long_running;
   const bool failed = end.reason == RunEndReason::kFailed;
   if (done)
-    this->MarkTaskDone(job, place, now);
-  else if (failed && !lasting)
-    this->RecordTaskFailure(job, place, end.run, worker, now);
+    this->MarkTaskDone(job, position, now);
+  else if (failed && !is_long_running)
+    this->RecordTaskFailure(job, position, end.run, worker, now);
   else if (failed)
     RecordFailedWorker(task, worker);
   const auto reporter = this->workers.find(worker);
@@ -107,15 +108,16 @@
 }
 
 void Scheduler::MarkTaskDone(Job& job,
-                             const TaskPosition& place,
+                             const TaskPosition& position,
                              base::Micros now) {
-  const jobs::StepKey key{.occurrence = place.occurrence, .step = place.step};
-  const jobs::Step& step = StepOf(job, place);
-  StepState& runs = StepAt(job, place);
+  const jobs::StepKey key{.occurrence = position.occurrence,
+                          .step = position.step};
+  const jobs::Step& step = StepOf(job, position);
+  StepState& runs = StepAt(job, position);
   // The completion of one gang member completes all of them.
-  const int first = step.gang ? 0 : place.index;
+  const int first = step.gang ? 0 : position.index;
   const int last =
-      step.gang ? static_cast<int>(runs.tasks.size()) - 1 : place.index;
+      step.gang ? static_cast<int>(runs.tasks.size()) - 1 : position.index;
   bool has_changed = false;
   for (int i = first; i <= last; ++i) {
     Task& task = runs.tasks[static_cast<std::size_t>(i)];
@@ -127,7 +129,7 @@
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
       const TaskPosition member{
-          .occurrence = place.occurrence, .step = place.step, .index = i};
+          .occurrence = position.occurrence, .step = position.step, .index = i};
       this->Stop(other->second, IdOf(job, member), now);
       if (other->second.runs.contains(IdOf(job, member)))
         job.progress.stopping[KeyOf(member)] = {.worker = task.worker,
@@ -147,26 +149,26 @@
 }
 
 void Scheduler::RecordTaskFailure(Job& job,
-                                  const TaskPosition& place,
+                                  const TaskPosition& position,
                                   int run,
                                   const jobs::WorkerLife& worker,
                                   base::Micros now) {
-  const jobs::Step& step = StepOf(job, place);
-  Task& task = TaskAt(job, place);
+  const jobs::Step& step = StepOf(job, position);
+  Task& task = TaskAt(job, position);
   RecordFailedWorker(task, worker);
   // A gang fails as a whole; failures are counted on its first task.
   const jobs::TaskKey key{
-      .step = {.occurrence = place.occurrence, .step = place.step},
-      .index = step.gang ? 0 : place.index};
+      .step = {.occurrence = position.occurrence, .step = position.step},
+      .index = step.gang ? 0 : position.index};
   job.progress.MarkFailed(key, run);
   if (job.finished())
     return;
   this->MarkChanged(job);
   const int count = job.progress.FailuresOf(key);
-  this->actions.emplace_back(
-      LogNote{job.id, fmt::format("task {}.{}.{} run {} failed on {}, {} of {}",
-                                  place.occurrence, place.step, place.index,
-                                  run, worker.id, count, job.queue.attempts)});
+  this->actions.emplace_back(LogNote{
+      job.id, fmt::format("task {}.{}.{} run {} failed on {}, {} of {}",
+                          position.occurrence, position.step, position.index,
+                          run, worker.id, count, job.queue.attempts)});
   if (count >= job.queue.attempts) {
     task.state = TaskState::kFailed;
     this->FinishJob(job, jobs::JobState::kFailed, now);
@@ -179,13 +181,13 @@
   Job* job = this->FindJob(id.job);
   if (!job || !HasTask(*job, PositionOf(id)))
     return;
-  const TaskPosition place = PositionOf(id);
-  const auto stopping = job->progress.stopping.find(KeyOf(place));
+  const TaskPosition position = PositionOf(id);
+  const auto stopping = job->progress.stopping.find(KeyOf(position));
   if (stopping != job->progress.stopping.end() && stopping->second.run == run) {
     job->progress.stopping.erase(stopping);
     this->MarkChanged(*job);
   }
-  Task& task = TaskAt(*job, place);
+  Task& task = TaskAt(*job, position);
   if (task.state != TaskState::kPlaced || task.run != run)
     return;
   task.worker = {};
@@ -196,13 +198,13 @@
     return;
   }
   task.state = TaskState::kReady;
-  const jobs::Step& step = StepOf(*job, place);
+  const jobs::Step& step = StepOf(*job, position);
   if (!step.gang) {
-    this->Enqueue(*job, place, now);
+    this->Enqueue(*job, position, now);
     return;
   }
   // A gang is placed again as a whole, once none of its members is placed.
-  StepState& runs = StepAt(*job, place);
+  StepState& runs = StepAt(*job, position);
   bool any_placed = false;
   for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
     if (runs.tasks[i].state != TaskState::kPlaced)
@@ -219,7 +221,8 @@
   if (any_placed)
     return;
   this->Enqueue(
-      *job, {.occurrence = place.occurrence, .step = place.step, .index = 0},
+      *job,
+      {.occurrence = position.occurrence, .step = position.step, .index = 0},
       now);
 }
 
@@ -232,7 +235,7 @@
     return;
   worker.quarantined_until = now + kQuarantineTime;
   this->actions.emplace_back(LogNote{
-      worker.info.life.id,
+      worker.info.incarnation.id,
       fmt::format("failed {:.0f}% of its recent runs; "
                   "placing nothing on it for {:.0f} s",
                   worker.failure_rate * 100, base::Seconds(kQuarantineTime))});
@@ -290,17 +293,17 @@
   if (task.migrations >= kMaxMoves)
     return;
   ++task.migrations;
-  RecordFailedWorker(task, worker.info.life);
+  RecordFailedWorker(task, worker.info.incarnation);
   this->actions.emplace_back(LogNote{
       id.job,
       fmt::format("task {}.{}.{} {} on {}; restarting elsewhere", id.occurrence,
-                  id.step, id.index, why, worker.info.life.id)});
+                  id.step, id.index, why, worker.info.incarnation.id)});
   this->Stop(worker, id, now);
 }
 
 // Advances the last recorded end. Ends count as recorded in the order of their
 // numbers, because the worker discards all ends up to the acknowledged number.
-void Scheduler::AdvanceAcknowledged(Worker& worker) {
+void Scheduler::AdvanceRecordedEnds(Worker& worker) {
   while (!worker.pending_ends.empty()) {
     const PendingEnd& end = worker.pending_ends.front();
     if (end.awaits_job)
--- a/scheduler/scheduler.cc
+++ b/scheduler/scheduler.cc
@@ -17,14 +17,14 @@
 }  // namespace
 
 Scheduler::Scheduler(const SchedulerLimits& chosen)
-    : limits(chosen), due_shares(chosen.shards), fleet(chosen.fleet) {}
+    : limits(chosen), guaranteed_rates(chosen.shards), fleet(chosen.fleet) {}
 
 // --- Configuration and workers ---
 
 void Scheduler::SetConfig(const jobs::Config& next, base::Micros now) {
   this->config = next;
   this->quotas.SetOrganisations(next.organisations);
-  this->due_shares.SetOrganisations(next.organisations);
+  this->guaranteed_rates.SetOrganisations(next.organisations);
   for (auto& [id, job] : this->jobs) {
     // A job whose queue was removed keeps the queue settings it was accepted
     // with.
@@ -36,15 +36,16 @@
   old.swap(this->ready);
   for (const auto& [service, tasks] : old) {
     for (const ReadyTask& task : tasks) {
-      if (TaskAt(*task.job, task.place).state == TaskState::kReady)
-        this->Enqueue(*task.job, task.place, now);
+      if (TaskAt(*task.job, task.position).state == TaskState::kReady)
+        this->Enqueue(*task.job, task.position, now);
     }
   }
 }
 
-void Scheduler::WorkersRecorded(const std::vector<jobs::WorkerLife>& lives) {
-  for (const jobs::WorkerLife& life : lives) {
-    if (Worker* worker = this->FindIncarnation(life))
+void Scheduler::WorkersRecorded(
+    const std::vector<jobs::WorkerLife>& incarnations) {
+  for (const jobs::WorkerLife& incarnation : incarnations) {
+    if (Worker* worker = this->FindIncarnation(incarnation))
       worker->is_lease_recorded = true;
   }
 }
@@ -74,7 +75,7 @@
     this->ApplyBufferedReports(job, now);
     return;
   }
-  job.exceeds_share = !this->due_shares.Consume(job.organisation, now);
+  job.is_over_rate = !this->guaranteed_rates.Consume(job.organisation, now);
   if (job.spec.repeats > 0)
     this->repeating_jobs.insert(job.id);
   double core_seconds = 0.0;
@@ -101,8 +102,8 @@
 }
 
 void Scheduler::Release(Job& job, base::Micros now) {
-  for (const TaskPosition& place : ReleaseSteps(job, now))
-    this->Enqueue(job, place, now);
+  for (const TaskPosition& position : ReleaseSteps(job, now))
+    this->Enqueue(job, position, now);
 }
 
 void Scheduler::ReleaseDueRepeats(base::Micros now) {
@@ -157,34 +158,36 @@
 // A job is useful for up to three times its objective. The chain is computed
 // from mean run times, while a step ends with its slowest task; a factor of
 // four on the estimate therefore excludes no job that is still useful.
-void Scheduler::Enqueue(Job& job, const TaskPosition& place, base::Micros now) {
+void Scheduler::Enqueue(Job& job,
+                        const TaskPosition& position,
+                        base::Micros now) {
   constexpr int kUsefulnessFactor = 4;
   if (!job.progress.losses.empty())
     this->GiveUpCrashingTasks(job, now);
-  Task& task = TaskAt(job, place);
+  Task& task = TaskAt(job, position);
   if (job.finished() || task.state == TaskState::kGivenUp)
     return;
   task.ready_since = now;
   task.wait_reason = WaitReason::kCapacity;
   const bool repeats = job.spec.repeats > 0;
-  const auto k = static_cast<std::size_t>(place.occurrence);
+  const auto k = static_cast<std::size_t>(position.occurrence);
   const base::Micros since = repeats ? job.occurrences[k].due : job.accepted_at;
   const base::Micros objective = this->ObjectiveOf(job);
   const base::Micros left =
-      this->LongestChain(job, static_cast<std::size_t>(place.step));
-  const bool lasting = StepOf(job, place).lasting;
-  const bool begun = job.has_started || place.step > 0;
+      this->LongestChain(job, static_cast<std::size_t>(position.step));
+  const bool is_long_running = StepOf(job, position).lasting;
+  const bool begun = job.has_started || position.step > 0;
   this->ready[job.queue.service].Insert(
       {.priority = job.queue.priority,
-       .scheduling_class = lasting             ? SchedulingClass::kLongRunning
-                           : begun             ? SchedulingClass::kStarted
-                           : job.exceeds_share ? SchedulingClass::kOverRate
-                                               : SchedulingClass::kNotStarted,
-       .soft_deadline = lasting ? now : since + objective - left,
+       .scheduling_class = is_long_running    ? SchedulingClass::kLongRunning
+                           : begun            ? SchedulingClass::kStarted
+                           : job.is_over_rate ? SchedulingClass::kOverRate
+                                              : SchedulingClass::kNotStarted,
+       .soft_deadline = is_long_running ? now : since + objective - left,
        .firm_deadline = since + kUsefulnessFactor * objective - left,
        .sequence = ++this->last_ready_number,
        .job = &job,
-       .place = place});
+       .position = position});
 }
 
 void Scheduler::MarkChanged(Job& job) {
@@ -304,10 +307,10 @@
                                     base::Micros now) {
   std::vector<TaskPosition> cancelled_plans;
   for (const auto& [key, placement] : stored.placed) {
-    const TaskPosition place{.occurrence = key.step.occurrence,
-                             .step = key.step.step,
-                             .index = key.index};
-    if (!HasTask(job, place))
+    const TaskPosition position{.occurrence = key.step.occurrence,
+                                .step = key.step.step,
+                                .index = key.index};
+    if (!HasTask(job, position))
       continue;
     const std::uint64_t epoch = EpochOf(placement.run);
     // A later owner has loaded the job and continues it.
@@ -316,22 +319,22 @@
       return;
     }
     const bool is_new = epoch < this->limits.epoch &&
-                        placement.run > TaskAt(job, place).inherited_run;
-    if (is_new && this->ApplyLatePlacement(job, place, placement))
-      cancelled_plans.push_back(place);
+                        placement.run > TaskAt(job, position).inherited_run;
+    if (is_new && this->ApplyLatePlacement(job, position, placement))
+      cancelled_plans.push_back(position);
     if (is_new && !this->FindHolder(placement.worker))
-      this->RecordUnobservedLoss(job, place, placement, now);
+      this->RecordUnobservedLoss(job, position, placement, now);
   }
   const bool was_final = job.finished();
   job.progress = jobs::Merge(job.progress, stored);
   for (const auto& [step, bits] : job.progress.done) {
     for (std::size_t i = 0; i < bits.size(); ++i) {
-      const TaskPosition place{.occurrence = step.occurrence,
-                               .step = step.step,
-                               .index = static_cast<int>(i)};
-      if (bits[i] && HasTask(job, place) &&
-          TaskAt(job, place).state != TaskState::kDone)
-        this->MarkTaskDone(job, place, now);
+      const TaskPosition position{.occurrence = step.occurrence,
+                                  .step = step.step,
+                                  .index = static_cast<int>(i)};
+      if (bits[i] && HasTask(job, position) &&
+          TaskAt(job, position).state != TaskState::kDone)
+        this->MarkTaskDone(job, position, now);
     }
   }
   if (job.finished() && !was_final)
@@ -340,12 +343,13 @@
   if (!job.finished() && HasExhaustedAttempts(job))
     this->FinishJob(job, jobs::JobState::kFailed, now);
   this->InheritLosses(job, now);
-  for (const TaskPosition& place : this->CancelSuspectPlans(job, stored, now))
-    cancelled_plans.push_back(place);
+  for (const TaskPosition& position :
+       this->CancelSuspectPlans(job, stored, now))
+    cancelled_plans.push_back(position);
   this->InheritRuns(job, now);
-  for (const TaskPosition& place : cancelled_plans) {
-    if (TaskAt(job, place).state == TaskState::kReady && !job.finished())
-      this->Enqueue(job, place, now);
+  for (const TaskPosition& position : cancelled_plans) {
+    if (TaskAt(job, position).state == TaskState::kReady && !job.finished())
+      this->Enqueue(job, position, now);
   }
 }
 
@@ -353,31 +357,31 @@
 // job. Returns true if this cancels the run planned by this owner, so that the
 // task is ready again.
 bool Scheduler::ApplyLatePlacement(Job& job,
-                                   const TaskPosition& place,
+                                   const TaskPosition& position,
                                    const jobs::Placement& placement) {
-  Task& task = TaskAt(job, place);
+  Task& task = TaskAt(job, position);
   task.inherited_run = placement.run;
   const Worker* worker = this->FindHolder(placement.worker);
   // A worker that has reported under this epoch either included the run or will
   // reject its start, since it comes with a lower epoch.
-  if (!worker || worker->has_listing || task.state == TaskState::kDone)
+  if (!worker || worker->has_reported || task.state == TaskState::kDone)
     return false;
-  this->CancelPlan(job, place);
-  job.progress.placed[KeyOf(place)] = placement;
+  this->CancelPlan(job, position);
+  job.progress.placed[KeyOf(position)] = placement;
   return task.state == TaskState::kReady;
 }
 
 // Cancels a planned run whose worker has not been contacted.
-void Scheduler::CancelPlan(Job& job, const TaskPosition& place) {
-  Task& task = TaskAt(job, place);
-  std::erase_if(job.pending_starts, [&place](const PendingStart& start) {
-    return start.place == place;
+void Scheduler::CancelPlan(Job& job, const TaskPosition& position) {
+  Task& task = TaskAt(job, position);
+  std::erase_if(job.pending_starts, [&position](const PendingStart& start) {
+    return start.position == position;
   });
   if (task.state != TaskState::kPlaced)
     return;
   const auto planned = this->workers.find(task.worker);
   if (planned != this->workers.end())
-    RemoveRun(planned->second, IdOf(job, place));
+    RemoveRun(planned->second, IdOf(job, position));
   task.state = TaskState::kReady;
   task.worker = {};
 }
@@ -414,7 +418,7 @@
   return std::all_of(
       this->workers.begin(), this->workers.end(), [now](const auto& entry) {
         const Worker& worker = entry.second;
-        return worker.has_listing || worker.latest_lease_end <= now;
+        return worker.has_reported || worker.latest_lease_end <= now;
       });
 }
 
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -83,8 +83,8 @@
   // `lease_end`. This owner grants it no lease until it has reported and has
   // been recorded again.
   void InheritWorker(const WorkerInfo& info, base::Micros lease_end);
-  // The stored worker list names `lives` as held by this owner.
-  void WorkersRecorded(const std::vector<jobs::WorkerLife>& lives);
+  // The stored worker list names `incarnations` as held by this owner.
+  void WorkersRecorded(const std::vector<jobs::WorkerLife>& incarnations);
   // This shard's share of an organisation's quota, in thousandths.
   void SetQuotaShare(const std::string& organisation, int share) {
     this->quotas.SetShare(organisation, share);
@@ -155,7 +155,7 @@
   // Deadline on the worker's clock for a lease until `end` on the local clock.
   std::int64_t LeaseDeadline(const jobs::WorkerLife& worker,
                              base::Micros end) const;
-  const Worker* FindWorker(const jobs::WorkerLife& life) const;
+  const Worker* FindWorker(const jobs::WorkerLife& incarnation) const;
   // The known incarnation of the worker `id`, or null.
   const Worker* FindWorker(const std::string& id) const;
   const std::map<jobs::WorkerLife, Worker>& all_workers() const {
@@ -198,13 +198,13 @@
 
   // A task of a step and the worker selected for it.
   struct Assignment {
-    TaskPosition place;
+    TaskPosition position;
     Worker* worker = nullptr;
   };
 
   // jobs
   Job* FindJob(const std::string& id);
-  void Enqueue(Job& job, const TaskPosition& place, base::Micros now);
+  void Enqueue(Job& job, const TaskPosition& position, base::Micros now);
   void Release(Job& job, base::Micros now);
   base::Micros LongestChain(const Job& job, std::size_t from) const;
   base::Micros ExpectedRun(const Job& job, const jobs::Step& step) const;
@@ -222,9 +222,9 @@
                    const jobs::WorkerLife& worker,
                    const ReportedEnd& end,
                    base::Micros now);
-  void MarkTaskDone(Job& job, const TaskPosition& place, base::Micros now);
+  void MarkTaskDone(Job& job, const TaskPosition& position, base::Micros now);
   void RecordTaskFailure(Job& job,
-                         const TaskPosition& place,
+                         const TaskPosition& position,
                          int run,
                          const jobs::WorkerLife& worker,
                          base::Micros now);
@@ -248,27 +248,27 @@
       const std::map<jobs::TaskId, Run>& runs,
       LossReason reason);
   void RecordLoss(Job& job,
-                  const TaskPosition& place,
-                  const jobs::WorkerLife& life,
+                  const TaskPosition& position,
+                  const jobs::WorkerLife& incarnation,
                   const jobs::WorkerLoss& loss,
                   base::Micros now);
   void RecordUnobservedLoss(Job& job,
-                            const TaskPosition& place,
+                            const TaskPosition& position,
                             const jobs::Placement& placement,
                             base::Micros now);
   std::vector<TaskPosition> CancelSuspectPlans(Job& job,
                                                const jobs::Progress& stored,
                                                base::Micros now);
-  void RecordLastTry(Job& job, const TaskPosition& place, int run);
-  void RevokeLastTry(Job& job, const TaskPosition& place, int run);
+  void RecordLastTry(Job& job, const TaskPosition& position, int run);
+  void RevokeLastTry(Job& job, const TaskPosition& position, int run);
   void InheritLosses(Job& job, base::Micros now);
   void ResolveLosses(const Worker& worker, base::Micros now);
   void GiveUpCrashingTasks(Job& job, base::Micros now);
   Suspicion SuspicionOf(const Job& job,
-                        const TaskPosition& place,
+                        const TaskPosition& position,
                         base::Micros now) const;
   Suspicion SuspicionOfStart(const Job& job,
-                             const TaskPosition& place,
+                             const TaskPosition& position,
                              base::Micros now) const;
   void UpdateSuspicion(Worker& worker, const jobs::TaskId& id, Run& run);
 
@@ -286,7 +286,7 @@
                           std::uint64_t change);
 
   // worker reports
-  Worker* ApplyCommandOutcome(const jobs::WorkerLife& life,
+  Worker* ApplyCommandOutcome(const jobs::WorkerLife& incarnation,
                               CommandOutcome outcome,
                               base::Micros now);
   void ProcessReportedRun(Worker& worker,
@@ -303,14 +303,14 @@
   void ResolveMissingRuns(Worker& worker,
                           const WorkerReport& report,
                           base::Micros now);
-  void AdvanceAcknowledged(Worker& worker);
+  void AdvanceRecordedEnds(Worker& worker);
 
   // worker incarnations
-  Worker* FindIncarnation(const jobs::WorkerLife& life);
+  Worker* FindIncarnation(const jobs::WorkerLife& incarnation);
   Worker* CurrentIncarnation(const std::string& id);
   // This incarnation, or a later one that may have runs meant for it.
-  Worker* FindHolder(const jobs::WorkerLife& life);
-  bool HasEnded(const jobs::WorkerLife& life) const;
+  Worker* FindHolder(const jobs::WorkerLife& incarnation);
+  bool HasEnded(const jobs::WorkerLife& incarnation) const;
   Worker* FindResponder(const jobs::WorkerLife& asked,
                         const jobs::WorkerLife& answered,
                         base::Micros now);
@@ -322,12 +322,12 @@
                    Run run,
                    const std::optional<PossibleLoss>& loss);
   // Removes a worker incarnation of which no run is active any more.
-  void RemoveWorker(const jobs::WorkerLife& life,
+  void RemoveWorker(const jobs::WorkerLife& incarnation,
                     LossReason reason,
                     base::Micros now);
   // As RemoveWorker, and ignores the incarnation if its registration is still
   // stored and is read again.
-  void EndIncarnation(const jobs::WorkerLife& life,
+  void EndIncarnation(const jobs::WorkerLife& incarnation,
                       LossReason reason,
                       base::Micros now);
   void HandleLostRuns(const Worker& worker,
@@ -357,7 +357,7 @@
                                       base::Micros now);
   bool HasSuitableWorker(const jobs::Step& step) const;
   std::vector<Assignment> ChooseWorkers(const Job& job,
-                                        const TaskPosition& place,
+                                        const TaskPosition& position,
                                         const std::vector<Worker*>& candidates,
                                         base::Micros now) const;
   void PlanRun(Job& job,
@@ -372,26 +372,27 @@
   void StartSavedPlacements(Job& job, base::Micros now);
   void InheritRuns(Job& job, base::Micros now);
   void InheritRun(Job& job,
-                  const TaskPosition& place,
+                  const TaskPosition& position,
                   int number,
                   Worker& worker,
                   base::Micros now);
   void InheritStops(Job& job, base::Micros now);
   bool ApplyLatePlacement(Job& job,
-                          const TaskPosition& place,
+                          const TaskPosition& position,
                           const jobs::Placement& placement);
-  void CancelPlan(Job& job, const TaskPosition& place);
+  void CancelPlan(Job& job, const TaskPosition& position);
   // Takes over progress that another owner wrote to the job's row.
   void MergeStoredProgress(Job& job,
                            const jobs::Progress& stored,
                            base::Micros now);
   bool IsUsable(const Worker& worker, base::Micros now) const;
   bool EnsureAdvice(Job& job,
-                    const TaskPosition& place,
+                    const TaskPosition& position,
                     const std::vector<Worker*>& candidates,
                     base::Micros now);
-  bool LeaseMayHaveBeenRenewed(const Job& job, const TaskPosition& place) const;
-  int NextRunNumber(const Job& job, const TaskPosition& place) const;
+  bool LeaseMayHaveBeenRenewed(const Job& job,
+                               const TaskPosition& position) const;
+  int NextRunNumber(const Job& job, const TaskPosition& position) const;
 
   // fleet
   void RunFleet(base::Micros now);
@@ -425,7 +426,7 @@
   RunTimes run_times;
   DemandTrend demand;
   Quotas quotas;
-  GuaranteedRates due_shares;
+  GuaranteedRates guaranteed_rates;
   FleetPlanner fleet;
   BoxRequests box_requests;
   std::vector<Action> actions;
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -25,7 +25,7 @@
 BOOST_AUTO_TEST_CASE(BusyWorkerLeaseStaysWithinItsBounds) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
   bench.scheduler.LeaseGranted(bench.LifeOf("w"),
@@ -37,7 +37,7 @@
                                           .checkpoint = "",
                                           .percent = 10}},
                              .ended = {}};
-  bench.List("w", running);
+  bench.Report("w", running);
   const auto remaining_lease = [&] {
     return bench.scheduler.FindWorker("w")->latest_lease_end - bench.now;
   };
@@ -54,8 +54,8 @@
     const base::Micros grant = bench.now + seconds(4);
     bench.now +=
         std::min<base::Micros>(asked.front().max_wait, milliseconds(200));
-    bench.List("w", running,
-               asked.front().renews_lease ? grant : base::Micros{});
+    bench.Report("w", running,
+                 asked.front().renews_lease ? grant : base::Micros{});
     sum += remaining_lease();
     ++looks;
   }
@@ -71,13 +71,13 @@
 BOOST_AUTO_TEST_CASE(PollRenewsALeaseThatIsNotKnownToLast) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {}, bench.now + milliseconds(2000));
+  bench.Report("w", {}, bench.now + milliseconds(2000));
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
   bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   jobs::TaskId found = FirstTask("job");
   found.index = 1;
-  bench.List(
+  bench.Report(
       "w",
       {.clock_ms = 0,
        .running = {{.task = found, .run = 7, .checkpoint = "", .percent = 1}},
@@ -100,7 +100,7 @@
   queue.name = "queue";
   queue.service = "pool";
   jobs::JobSpec spec;
-  spec.steps.push_back(Bench::OneLastingTask());
+  spec.steps.push_back(Bench::OneLongRunningTask());
   jobs::Progress progress;
   progress.placed[{.step = {}, .index = 0}] = {.worker = {.id = "dies"},
                                                .run = 1};
@@ -110,13 +110,13 @@
   bench.scheduler.UpdateWorker(Bench::Worker("lives"), bench.now);
   bench.scheduler.AddJob(MakeJob("job", queue, spec, progress, bench.now, {}),
                          bench.now);
-  bench.List("lives", {});
-  bench.List("dies", {.clock_ms = 0,
-                      .running = {{.task = FirstTask("job"),
-                                   .run = 1,
-                                   .checkpoint = "",
-                                   .percent = 100}},
-                      .ended = {}});
+  bench.Report("lives", {});
+  bench.Report("dies", {.clock_ms = 0,
+                        .running = {{.task = FirstTask("job"),
+                                     .run = 1,
+                                     .checkpoint = "",
+                                     .percent = 100}},
+                        .ended = {}});
   const base::Micros heard = bench.now;
   StartRun start;
   while (start.worker.empty() && bench.now < heard + seconds(20)) {
@@ -145,40 +145,40 @@
                          bench.now);
   bench.now += seconds(2);  // no worker is registered yet
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   std::int64_t number = 0;
   for (const RunEndReason how :
        {RunEndReason::kFailed, RunEndReason::kSucceeded}) {
     const StartRun start = bench.NextStart();
     bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
     bench.now += milliseconds(700);
-    bench.List("w", {.clock_ms = 0,
-                     .running = {},
-                     .ended = {{.sequence = ++number,
-                                .task = start.task,
-                                .run = start.run,
-                                .reason = how,
-                                .checkpoint = ""}}});
+    bench.Report("w", {.clock_ms = 0,
+                       .running = {},
+                       .ended = {{.sequence = ++number,
+                                  .task = start.task,
+                                  .run = start.run,
+                                  .reason = how,
+                                  .checkpoint = ""}}});
   }
   const auto over = Only<JobFinished>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(over.size() == 1U);
   BOOST_TEST(over[0].job == "job");
   BOOST_TEST(over[0].queue == "queue");
   BOOST_CHECK(over[0].state == jobs::JobState::kCompleted);
-  const JobTimings& story = over[0].timings;
-  BOOST_TEST(story.runs == 2);
-  BOOST_TEST(story.lost_runs == 1);
-  BOOST_CHECK(story.first_placed >= seconds(2));
-  BOOST_CHECK(story.longest_wait >= seconds(2));
-  BOOST_CHECK(story.longest_run >= milliseconds(700));
-  BOOST_CHECK(over[0].duration >= story.longest_wait + story.longest_run);
+  const JobTimings& timings = over[0].timings;
+  BOOST_TEST(timings.runs == 2);
+  BOOST_TEST(timings.lost_runs == 1);
+  BOOST_CHECK(timings.first_placed >= seconds(2));
+  BOOST_CHECK(timings.longest_wait >= seconds(2));
+  BOOST_CHECK(timings.longest_run >= milliseconds(700));
+  BOOST_CHECK(over[0].duration >= timings.longest_wait + timings.longest_run);
 }
 
 BOOST_AUTO_TEST_CASE(TaskCompletedBehindAPartitionStopsItsLaterRun) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
     bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
-    bench.List(id, {});
+    bench.Report(id, {});
   }
   bench.AddJob("job");
   const StartRun first = bench.NextStart();
@@ -194,13 +194,13 @@
   bench.scheduler.LeaseGranted(second.worker, bench.now + seconds(4));
   bench.scheduler.StartAnswered(second, CommandOutcome::kDone, bench.now);
   // The partition heals: the first run had completed before its lease expired.
-  bench.List(first.worker.id, {.clock_ms = 0,
-                               .running = {},
-                               .ended = {{.sequence = 1,
-                                          .task = first.task,
-                                          .run = first.run,
-                                          .reason = RunEndReason::kSucceeded,
-                                          .checkpoint = ""}}});
+  bench.Report(first.worker.id, {.clock_ms = 0,
+                                 .running = {},
+                                 .ended = {{.sequence = 1,
+                                            .task = first.task,
+                                            .run = first.run,
+                                            .reason = RunEndReason::kSucceeded,
+                                            .checkpoint = ""}}});
   const auto stops = Only<StopRun>(bench.Turn());
   BOOST_REQUIRE(stops.size() == 1);
   BOOST_TEST(stops[0].worker.id == second.worker.id);
@@ -210,14 +210,14 @@
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   const auto add = [&](const std::string& id, bool fills) {
-    jobs::Step step = Bench::OneLastingTask();
+    jobs::Step step = Bench::OneLongRunningTask();
     step.fills = fills;
     step.target_ms = fills ? 0 : 100;
     bench.AddJob(id, step);
   };
   add("serves", false);
   add("fills", true);
-  const auto listing = [](std::int64_t tail) {
+  const auto report = [](std::int64_t tail) {
     WorkerReport listed;
     for (const char* job : {"serves", "fills"}) {
       const bool serves = std::string(job) == "serves";
@@ -229,14 +229,14 @@
     }
     return listed;
   };
-  bench.List("w", listing(130));
+  bench.Report("w", report(130));
   auto paces = Only<ThrottleRun>(bench.Turn());
   BOOST_REQUIRE(paces.size() == 1);
   BOOST_TEST(paces[0].task.job == "fills");
   BOOST_TEST(paces[0].percent == 0);
-  bench.List("w", listing(70));
+  bench.Report("w", report(70));
   BOOST_TEST(Only<ThrottleRun>(bench.Turn()).empty());
-  bench.List("w", listing(20));
+  bench.Report("w", report(20));
   paces = Only<ThrottleRun>(bench.Turn());
   BOOST_REQUIRE(paces.size() == 1);
   BOOST_TEST(paces[0].percent == 20);
@@ -246,7 +246,7 @@
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
     bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
-    bench.List(id, {});
+    bench.Report(id, {});
   }
   bench.AddJob("job", jobs::Step(), true);
   const std::vector<Action> asked = bench.Turn();
@@ -272,14 +272,14 @@
 BOOST_AUTO_TEST_CASE(UnansweredLongRunningStartIsStoppedOnlyAfterAReport) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
-  bench.AddJob("job", Bench::OneLastingTask());
+  bench.Report("w", {});
+  bench.AddJob("job", Bench::OneLongRunningTask());
   const StartRun start = bench.NextStart();
   BOOST_REQUIRE(start.run == 1);
   bench.scheduler.LeaseGranted(bench.LifeOf("w"), bench.now + seconds(8));
   bench.scheduler.StartAnswered(start, CommandOutcome::kUnknown, bench.now);
   BOOST_TEST(Only<StopRun>(bench.Turn()).empty());
-  bench.List("w", {});
+  bench.Report("w", {});
   BOOST_TEST(Only<StopRun>(bench.Turn()).size() == 1U);
 }
 
@@ -287,37 +287,37 @@
 BOOST_AUTO_TEST_CASE(WorkerThatLeavesStartsUnansweredIsQuarantined) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("bad"), bench.now);
-  bench.List("bad", {});
-  int ordered = 0;
+  bench.Report("bad", {});
+  int decided_at = 0;
   for (int i = 0; i < 8; ++i) {
     bench.AddJob("job" + std::to_string(i));
     const StartRun start = bench.NextStart();
     if (start.worker.empty())
       break;
-    ++ordered;
+    ++decided_at;
     bench.scheduler.StartAnswered(start, CommandOutcome::kUnknown, bench.now);
-    bench.List("bad", {});
+    bench.Report("bad", {});
   }
-  BOOST_TEST(ordered == 3);
+  BOOST_TEST(decided_at == 3);
 }
 
 // A job with a placed task whose start was not answered counts as waiting.
 BOOST_AUTO_TEST_CASE(JobCountsAsWaitingUntilARunHasStarted) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("job");
   const StartRun start = bench.NextStart();
   BOOST_REQUIRE(start.run == 1);
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 1);
   bench.scheduler.StartAnswered(start, CommandOutcome::kUnknown, bench.now);
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 1);
-  bench.List("w", {.clock_ms = 0,
-                   .running = {{.task = start.task,
-                                .run = start.run,
-                                .checkpoint = "",
-                                .percent = 10}},
-                   .ended = {}});
+  bench.Report("w", {.clock_ms = 0,
+                     .running = {{.task = start.task,
+                                  .run = start.run,
+                                  .checkpoint = "",
+                                  .percent = 10}},
+                     .ended = {}});
   BOOST_TEST(bench.scheduler.WaitingJobs()["queue"] == 0);
 }
 
@@ -327,8 +327,8 @@
 BOOST_AUTO_TEST_CASE(FailuresRecordedByAnEarlierOwnerCount) {
   Bench bench(3);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {.clock_ms = 0, .running = {}, .ended = {}},
-             std::chrono::seconds(4));
+  bench.Report("w", {.clock_ms = 0, .running = {}, .ended = {}},
+               std::chrono::seconds(4));
   bench.AddJob("j");
   const auto saves = Only<SaveProgress>(bench.Turn());
   BOOST_REQUIRE(saves.size() == 1U);
@@ -361,13 +361,13 @@
     return info;
   };
   bench.scheduler.UpdateWorker(on_box("old", "box-1"), bench.now);
-  bench.List("old", {});
+  bench.Report("old", {});
   bench.scheduler.PollFailed(bench.LifeOf("old"),
                              CommandOutcome::kOtherIncarnation, bench.now);
   bench.scheduler.UpdateWorker(on_box("new", "box-1"), bench.now);
-  bench.List("new", {});
+  bench.Report("new", {});
   bench.scheduler.UpdateWorker(on_box("other", "box-2"), bench.now);
-  bench.List("other", {});
+  bench.Report("other", {});
   bench.scheduler.SetBoxes({{.name = "box-1", .pool = "pool", .worker = "new"},
                             {.name = "box-2", .pool = "pool"}},
                            bench.now, bench.now);
@@ -398,12 +398,12 @@
   config.services = {{.name = "pool"}, {.name = "other"}};
   bench.scheduler.SetConfig(config, bench.now);
   bench.scheduler.UpdateWorker(Bench::Worker("full"), bench.now);
-  bench.List("full", {});
+  bench.Report("full", {});
   WorkerInfo idle = Bench::Worker("idle");
   idle.service = "other";
   bench.scheduler.UpdateWorker(idle, bench.now);
-  bench.List("idle", {});
-  jobs::Step step = Bench::OneLastingTask();
+  bench.Report("idle", {});
+  jobs::Step step = Bench::OneLongRunningTask();
   step.tasks = 2;
   step.each = {.cpu_millis = 500, .memory_mb = 3000, .gpus = 0};
   bench.AddJob("job", step);
@@ -411,8 +411,8 @@
   for (int i = 0; i < 8 && moves.empty(); ++i) {
     const std::vector<Action> actions = bench.Turn();
     bench.Save(Only<SaveProgress>(actions));
-    bench.List("full", {});
-    bench.List("idle", {});
+    bench.Report("full", {});
+    bench.Report("idle", {});
     moves = Only<MoveBox>(actions);
   }
   BOOST_REQUIRE(moves.size() == 1U);
@@ -431,7 +431,7 @@
   std::map<std::string, std::vector<StartRun>> running;
   for (const char* worker : {"a", "b"}) {
     bench.scheduler.UpdateWorker(Bench::Worker(worker), bench.now);
-    bench.List(worker, {});
+    bench.Report(worker, {});
     running[worker];
   }
   jobs::Step small = Bench::OneTask();
@@ -444,7 +444,7 @@
   // arrives after 3 s.
   for (int turn = 0; turn < 30 && !is_started; ++turn) {
     if (turn == 10) {
-      jobs::Step large = Bench::OneLastingTask();
+      jobs::Step large = Bench::OneLongRunningTask();
       large.each = {.cpu_millis = 500, .memory_mb = 3000, .gpus = 0};
       bench.AddJob("large", large);
     }
@@ -460,22 +460,22 @@
     }
     ++number;
     for (auto& [worker, runs] : running) {
-      WorkerReport listing;
+      WorkerReport report;
       if (runs.size() >= 4) {
-        listing.ended.push_back({.sequence = number,
-                                 .task = runs.front().task,
-                                 .run = runs.front().run,
-                                 .reason = RunEndReason::kSucceeded,
-                                 .checkpoint = ""});
+        report.ended.push_back({.sequence = number,
+                                .task = runs.front().task,
+                                .run = runs.front().run,
+                                .reason = RunEndReason::kSucceeded,
+                                .checkpoint = ""});
         runs.erase(runs.begin());
       }
       for (const StartRun& run : runs) {
-        listing.running.push_back({.task = run.task,
-                                   .run = run.run,
-                                   .checkpoint = "",
-                                   .percent = turn % 100});
+        report.running.push_back({.task = run.task,
+                                  .run = run.run,
+                                  .checkpoint = "",
+                                  .percent = turn % 100});
       }
-      bench.List(worker, listing, bench.now + seconds(4));
+      bench.Report(worker, report, bench.now + seconds(4));
     }
   }
   BOOST_TEST(is_started);
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -73,13 +73,13 @@
     info.box = box;
     info.service = pool;
     this->bench.scheduler.UpdateWorker(info, this->bench.now);
-    this->List(info.life.id);
+    this->List(info.incarnation.id);
   }
 
   void List(const std::string& worker) {
     const base::Micros before = this->bench.now;
-    this->bench.List(worker, {.running = this->running[worker]},
-                     before + std::chrono::seconds(4));
+    this->bench.Report(worker, {.running = this->running[worker]},
+                       before + std::chrono::seconds(4));
     this->bench.now = before;
   }
 
@@ -105,7 +105,7 @@
   void AddStuckJob(const std::string& pool, StuckReason reason) {
     const std::string id =
         "stuck-" + pool + std::to_string(static_cast<int>(reason));
-    jobs::Step step = Bench::OneLastingTask();
+    jobs::Step step = Bench::OneLongRunningTask();
     jobs::Progress progress;
     if (reason == StuckReason::kLabel)
       step.label = "nowhere";
@@ -171,7 +171,7 @@
 // Guards against a job over its quota that reserves a box for each task.
 BOOST_AUTO_TEST_CASE(LastingJobOverItsQuotaReservesNoBoxes) {
   ThreePools fleet;
-  jobs::Step step = Bench::OneLastingTask();
+  jobs::Step step = Bench::OneLongRunningTask();
   step.tasks = 100;
   step.most_per_worker = 1;
   fleet.AddJobTo("pool", "wide", step, "full");
@@ -224,13 +224,13 @@
 // Guards against a pool that can't get the one box it needs.
 BOOST_AUTO_TEST_CASE(LastingTaskThatABoxWouldHoldGetsOne) {
   ThreePools fleet;
-  jobs::Step many = Bench::OneLastingTask();
+  jobs::Step many = Bench::OneLongRunningTask();
   many.tasks = 20;
   many.each = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
   fleet.AddJobTo("pool", "many", many);
   fleet.RunTurns(30);
   BOOST_REQUIRE(fleet.starts == 20);
-  jobs::Step large = Bench::OneLastingTask();
+  jobs::Step large = Bench::OneLongRunningTask();
   large.each.memory_mb = 3000;
   fleet.AddJobTo("pool", "large", large);
   fleet.RunTurns(20);
@@ -254,7 +254,7 @@
     // At most 75 of the 150 boxes are needed, whatever pool they are in.
     int tasks = 0;
     for (const std::string& pool : pools) {
-      jobs::Step step = Bench::OneLastingTask();
+      jobs::Step step = Bench::OneLongRunningTask();
       step.tasks = *rc::gen::inRange(1, 26);
       step.each = {.cpu_millis = *rc::gen::inRange(10, 4000),
                    .memory_mb = *rc::gen::inRange(10, 4000),
--- a/scheduler/suspects.cc
+++ b/scheduler/suspects.cc
@@ -34,13 +34,13 @@
 Suspicion AssessSuspicion(const jobs::WorkerLosses& losses,
                           const jobs::RunNumbers& last_tries,
                           base::Micros since_last_loss,
-                          bool is_lasting) {
+                          bool is_long_running) {
   const auto count = static_cast<int>(losses.size());
   int crashes = 0;
   int reported = 0;
   bool was_alone = false;
   std::set<std::string> boxes;  // with crashed workers
-  for (const auto& [life, loss] : losses) {
+  for (const auto& [incarnation, loss] : losses) {
     if (!loss.has_crashed)
       continue;
     ++crashes;
@@ -56,49 +56,50 @@
                          boxes.size() > 1;
   if (count == 0)
     return Suspicion::kNone;
-  if (is_proven && !is_lasting)
+  if (is_proven && !is_long_running)
     return Suspicion::kGiveUp;
   if (IsLastTry(losses) && crashes < count &&
       since_last_loss < kCrashDetectionTime)
     return Suspicion::kDeferred;
   if (IsLastTry(losses) && last_tries.size() >= kMaxLastTries)
     return Suspicion::kGiveUp;
-  if (IsLastTry(losses) && is_lasting && since_last_loss < kLastTryPause)
+  if (IsLastTry(losses) && is_long_running && since_last_loss < kLastTryPause)
     return Suspicion::kDeferred;
   return count >= kLossesBeforeProbe ? Suspicion::kProbe : Suspicion::kLow;
 }
 
-void UnresolvedLosses::Add(const jobs::WorkerLife& life,
+void UnresolvedLosses::Add(const jobs::WorkerLife& incarnation,
                            const std::string& box,
                            const std::string& job) {
-  Life& entry = this->lives[life];
+  Entry& entry = this->entries[incarnation];
   entry.box = box;
   entry.jobs.insert(job);
-  this->by_box[box].insert(life);
+  this->by_box[box].insert(incarnation);
 }
 
-std::set<std::string> UnresolvedLosses::Remove(const jobs::WorkerLife& life) {
-  const auto found = this->lives.find(life);
-  if (found == this->lives.end())
+std::set<std::string> UnresolvedLosses::Remove(
+    const jobs::WorkerLife& incarnation) {
+  const auto found = this->entries.find(incarnation);
+  if (found == this->entries.end())
     return {};
-  const Life removed = std::move(found->second);
-  this->lives.erase(found);
+  const Entry removed = std::move(found->second);
+  this->entries.erase(found);
   const auto on_box = this->by_box.find(removed.box);
-  on_box->second.erase(life);
+  on_box->second.erase(incarnation);
   if (on_box->second.empty())
     this->by_box.erase(on_box);
   return removed.jobs;
 }
 
-std::vector<jobs::WorkerLife> UnresolvedLosses::OtherLivesOn(
+std::vector<jobs::WorkerLife> UnresolvedLosses::OtherIncarnationsOn(
     const std::string& box,
-    const jobs::WorkerLife& life) const {
+    const jobs::WorkerLife& incarnation) const {
   const auto found = this->by_box.find(box);
   if (found == this->by_box.end())
     return {};
   std::vector<jobs::WorkerLife> others;
   for (const jobs::WorkerLife& lost : found->second) {
-    if (lost != life)
+    if (lost != incarnation)
       others.push_back(lost);
   }
   return others;
--- a/scheduler/suspects.h
+++ b/scheduler/suspects.h
@@ -32,7 +32,7 @@
 Suspicion AssessSuspicion(const jobs::WorkerLosses& losses,
                           const jobs::RunNumbers& last_tries,
                           base::Micros since_last_loss,
-                          bool is_lasting = false);
+                          bool is_long_running = false);
 // True if the next run counts as one of the last tries.
 bool IsLastTry(const jobs::WorkerLosses& losses);
 
@@ -49,23 +49,23 @@
 // answers on its box, it has.
 class UnresolvedLosses {
  public:
-  void Add(const jobs::WorkerLife& life,
+  void Add(const jobs::WorkerLife& incarnation,
            const std::string& box,
            const std::string& job);
   // Removes the entry of this life and returns the jobs in it.
-  std::set<std::string> Remove(const jobs::WorkerLife& life);
-  // Returns the lives in this collection on the box, except `life`.
-  std::vector<jobs::WorkerLife> OtherLivesOn(
+  std::set<std::string> Remove(const jobs::WorkerLife& incarnation);
+  // Returns the lives in this collection on the box, except `incarnation`.
+  std::vector<jobs::WorkerLife> OtherIncarnationsOn(
       const std::string& box,
-      const jobs::WorkerLife& life) const;
-  std::size_t size() const { return this->lives.size(); }
+      const jobs::WorkerLife& incarnation) const;
+  std::size_t size() const { return this->entries.size(); }
 
  private:
-  struct Life {
+  struct Entry {
     std::string box;
     std::set<std::string> jobs;
   };
-  std::map<jobs::WorkerLife, Life> lives;
+  std::map<jobs::WorkerLife, Entry> entries;
   std::map<std::string, std::set<jobs::WorkerLife>> by_box;
 };
 
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -17,7 +17,7 @@
 using testing::Only;
 using Bench = testing::SchedulerBench;
 
-jobs::WorkerLife Life(const char* id) {
+jobs::WorkerLife Incarnation(const char* id) {
   return {.id = id};
 }
 
@@ -31,8 +31,8 @@
 BOOST_AUTO_TEST_CASE(TaskThatWaitsForAnIdleWorkerDoesNotBlockItsStep) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
-  bench.AddJob("busy", Bench::OneLastingTask());
+  bench.Report("w", {});
+  bench.AddJob("busy", Bench::OneLongRunningTask());
   const StartRun busy = bench.NextStart();
   bench.scheduler.StartAnswered(busy, CommandOutcome::kDone, bench.now);
   jobs::Queue queue;
@@ -43,8 +43,8 @@
   spec.steps[0].tasks = 2;
   jobs::Progress progress;
   const jobs::TaskKey suspect{.step = {}, .index = 0};
-  progress.MarkLost(suspect, Life("a"), Crash(1, "box-a"));
-  progress.MarkLost(suspect, Life("b"), Crash(2, "box-b"));
+  progress.MarkLost(suspect, Incarnation("a"), Crash(1, "box-a"));
+  progress.MarkLost(suspect, Incarnation("b"), Crash(2, "box-b"));
   bench.scheduler.AddJob(MakeJob("job", queue, spec, progress, bench.now, {}),
                          bench.now);
   const std::vector<SaveProgress> saves = Only<SaveProgress>(bench.Turn());
@@ -55,29 +55,29 @@
 }
 
 BOOST_AUTO_TEST_CASE(SuspicionFollowsFromRecordedLosses) {
-  const jobs::WorkerLosses two{{Life("a"), Crash(1, "x")},
-                               {Life("b"), Crash(2, "y")}};
+  const jobs::WorkerLosses two{{Incarnation("a"), Crash(1, "x")},
+                               {Incarnation("b"), Crash(2, "y")}};
   BOOST_CHECK(AssessSuspicion({}, {}, seconds(9)) == Suspicion::kNone);
-  BOOST_CHECK(AssessSuspicion({{Life("a"), Crash(1, "x")}}, {}, seconds(9)) ==
-              Suspicion::kLow);
+  BOOST_CHECK(AssessSuspicion({{Incarnation("a"), Crash(1, "x")}}, {},
+                              seconds(9)) == Suspicion::kLow);
   BOOST_CHECK(AssessSuspicion(two, {}, seconds(9)) == Suspicion::kProbe);
   // A third loss, not yet known to be a crash.
   jobs::WorkerLosses three = two;
-  three[Life("c")] = {.run = 3, .box = "z", .was_alone = true};
+  three[Incarnation("c")] = {.run = 3, .box = "z", .was_alone = true};
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kDeferred);
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
   BOOST_CHECK(AssessSuspicion(three, {4}, seconds(9)) == Suspicion::kProbe);
   BOOST_CHECK(AssessSuspicion(three, {4, 5}, seconds(9)) == Suspicion::kGiveUp);
-  three[Life("c")].has_crashed = true;
+  three[Incarnation("c")].has_crashed = true;
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(1)) == Suspicion::kGiveUp);
   // Without a crash while it ran alone, the task is not proven to be the cause.
-  three[Life("c")].was_alone = false;
+  three[Incarnation("c")].was_alone = false;
   BOOST_CHECK(AssessSuspicion(three, {}, seconds(9)) == Suspicion::kProbe);
   // All crashes on one box: the box may be the cause.
-  jobs::WorkerLosses one_box{{Life("a"), Crash(1, "x")},
-                             {Life("b"), Crash(2, "x")},
-                             {Life("c"), Crash(3, "x")}};
-  one_box[Life("c")].was_alone = true;
+  jobs::WorkerLosses one_box{{Incarnation("a"), Crash(1, "x")},
+                             {Incarnation("b"), Crash(2, "x")},
+                             {Incarnation("c"), Crash(3, "x")}};
+  one_box[Incarnation("c")].was_alone = true;
   BOOST_CHECK(AssessSuspicion(one_box, {}, seconds(9)) == Suspicion::kProbe);
 }
 
@@ -87,11 +87,12 @@
   for (const bool answers : {true, false}) {
     Bench bench(1);
     bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-    bench.List("w", {});
-    bench.AddJob("job", Bench::OneLastingTask());
+    bench.Report("w", {});
+    bench.AddJob("job", Bench::OneLongRunningTask());
     const StartRun start = bench.NextStart();
     bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
-    bench.scheduler.PollFailed(Life("w"), CommandOutcome::kUnknown, bench.now);
+    bench.scheduler.PollFailed(Incarnation("w"), CommandOutcome::kUnknown,
+                               bench.now);
     bench.now += seconds(8);
     bench.Turn();
     const auto losses = [&] {
@@ -101,17 +102,17 @@
                                                 : found->second;
     };
     BOOST_REQUIRE(losses().size() == 1U);
-    BOOST_TEST(!losses().at(Life("w")).has_crashed);
+    BOOST_TEST(!losses().at(Incarnation("w")).has_crashed);
     if (answers) {
-      bench.List("w", {});
+      bench.Report("w", {});
       BOOST_TEST(losses().empty());
       continue;
     }
     WorkerInfo next = Bench::Worker("next");
     next.box = "box-w";
     bench.scheduler.UpdateWorker(next, bench.now);
-    bench.List("next", {});
-    BOOST_TEST(losses().at(Life("w")).has_crashed);
+    bench.Report("next", {});
+    BOOST_TEST(losses().at(Incarnation("w")).has_crashed);
   }
 }
 
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -23,7 +23,8 @@
 }
 
 void Scheduler::BufferRunEnd(Worker& worker, const ReportedEnd& end) {
-  this->UnknownJobFor(end.task.job).ends.emplace_back(worker.info.life, end);
+  this->UnknownJobFor(end.task.job)
+      .ends.emplace_back(worker.info.incarnation, end);
   worker.pending_ends.push_back(
       {.number = end.sequence, .job = end.task.job, .awaits_job = true});
 }
@@ -43,7 +44,7 @@
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.max_grant);
   this->UnknownJobFor(listed.task.job)
-      .runs.emplace_back(worker.info.life, listed.task);
+      .runs.emplace_back(worker.info.incarnation, listed.task);
 }
 
 // Applies the ends and runs that were held back until the job was known.
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -18,12 +18,12 @@
 BOOST_AUTO_TEST_CASE(RunOfAnUnknownJobTakesTheWholeRoomUntilItHasEnded) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {.clock_ms = 0,
-                   .running = {{.task = FirstTask("over"),
-                                .run = 3,
-                                .checkpoint = "",
-                                .percent = 40}},
-                   .ended = {}});
+  bench.Report("w", {.clock_ms = 0,
+                     .running = {{.task = FirstTask("over"),
+                                  .run = 3,
+                                  .checkpoint = "",
+                                  .percent = 40}},
+                     .ended = {}});
   bench.AddJob("next");
   // The job may have just been accepted, so it is read from the store first.
   const std::vector<Action> before = bench.Turn();
@@ -35,13 +35,13 @@
   const std::vector<Action> after = bench.Turn();
   BOOST_TEST(Only<SaveProgress>(after).empty());
   BOOST_TEST(Only<StopRun>(after).size() == 1U);
-  bench.List("w", {.clock_ms = 0,
-                   .running = {},
-                   .ended = {{.sequence = 1,
-                              .task = FirstTask("over"),
-                              .run = 3,
-                              .reason = RunEndReason::kStopped,
-                              .checkpoint = ""}}});
+  bench.Report("w", {.clock_ms = 0,
+                     .running = {},
+                     .ended = {{.sequence = 1,
+                                .task = FirstTask("over"),
+                                .run = 3,
+                                .reason = RunEndReason::kStopped,
+                                .checkpoint = ""}}});
   BOOST_TEST(Only<SaveProgress>(bench.Turn()).size() == 1U);
 }
 
@@ -50,9 +50,9 @@
 BOOST_AUTO_TEST_CASE(WorkerHasNoFreeCapacityUntilAllItsJobsAreKnown) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w",
-             {.running = {{.task = FirstTask("first"), .run = 1, .percent = 40},
-                          {.task = FirstTask("second"), .run = 1}}});
+  bench.Report(
+      "w", {.running = {{.task = FirstTask("first"), .run = 1, .percent = 40},
+                        {.task = FirstTask("second"), .run = 1}}});
   jobs::Step large = Bench::OneTask();
   large.each.cpu_millis = 2500;
   bench.AddJob("first");
@@ -70,14 +70,14 @@
 BOOST_AUTO_TEST_CASE(EndOfAJobThatIsNotKnownYetIsHeldUntilItIs) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  const WorkerReport listing{.clock_ms = 0,
-                             .running = {},
-                             .ended = {{.sequence = 1,
-                                        .task = FirstTask("late"),
-                                        .run = 1,
-                                        .reason = RunEndReason::kSucceeded,
-                                        .checkpoint = ""}}};
-  bench.List("w", listing);
+  const WorkerReport report{.clock_ms = 0,
+                            .running = {},
+                            .ended = {{.sequence = 1,
+                                       .task = FirstTask("late"),
+                                       .run = 1,
+                                       .reason = RunEndReason::kSucceeded,
+                                       .checkpoint = ""}}};
+  bench.Report("w", report);
   bench.Turn();
   BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 0);
   bench.AddJob("late");
@@ -100,12 +100,12 @@
 BOOST_AUTO_TEST_CASE(RunOfAnUnknownJobIsAdoptedOnceTheJobIsKnown) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {.clock_ms = 0,
-                   .running = {{.task = FirstTask("late"),
-                                .run = 1,
-                                .checkpoint = "",
-                                .percent = 40}},
-                   .ended = {}});
+  bench.Report("w", {.clock_ms = 0,
+                     .running = {{.task = FirstTask("late"),
+                                  .run = 1,
+                                  .checkpoint = "",
+                                  .percent = 40}},
+                     .ended = {}});
   bench.Turn();
   bench.AddJob("late");
   const std::vector<Action> actions = bench.Turn();
--- a/scheduler/worker.cc
+++ b/scheduler/worker.cc
@@ -12,7 +12,7 @@
 constexpr base::Micros kReorderTolerance = std::chrono::milliseconds(100);
 // Longest delay after which a call that got no answer may still be carried out.
 // The platform's documentation says seconds; 2 to 12 s were seen on the sites.
-constexpr base::Micros kMaxOrderDelay = std::chrono::seconds(12);
+constexpr base::Micros kMaxCommandDelay = std::chrono::seconds(12);
 
 void ReleaseQuota(const Run& run) {
   if (run.organisation_usage)
@@ -34,7 +34,7 @@
 Run& AddRun(Worker& worker, const jobs::TaskId& task, Run run) {
   RemoveRun(worker, task);
   worker.used = worker.used + run.reserved;
-  worker.lasting_runs += run.lasting;
+  worker.long_running_tasks += run.is_long_running;
   worker.unknown_runs += run.has_unknown_resources;
   worker.suspect_runs += run.suspicion != Suspicion::kNone;
   worker.probe_runs += IsProbeRun(run);
@@ -48,7 +48,7 @@
   if (found == worker.runs.end())
     return;
   worker.used = worker.used - found->second.reserved;
-  worker.lasting_runs -= found->second.lasting;
+  worker.long_running_tasks -= found->second.is_long_running;
   worker.unknown_runs -= found->second.has_unknown_resources;
   ClearSuspicion(worker, found->second);
   ReleaseQuota(found->second);
@@ -57,7 +57,8 @@
 
 void RecordUnansweredStart(Worker& worker, const UnansweredStart& start) {
   while (!worker.recent_unanswered_starts.empty() &&
-         worker.recent_unanswered_starts.front().given_up_at + kMaxOrderDelay <
+         worker.recent_unanswered_starts.front().given_up_at +
+                 kMaxCommandDelay <
              start.given_up_at)
     worker.recent_unanswered_starts.pop_front();
   worker.recent_unanswered_starts.push_back(start);
@@ -67,7 +68,7 @@
   for (const auto& [task, run] : worker.runs)
     ReleaseQuota(run);
   worker.used = {};
-  worker.lasting_runs = 0;
+  worker.long_running_tasks = 0;
   worker.unknown_runs = 0;
   worker.suspect_runs = 0;
   worker.probe_runs = 0;
@@ -81,15 +82,15 @@
         return run.is_confirmed || run.state == RunState::kPlanned ||
                run.state == RunState::kInherited;
       });
-  return worker.has_listing && worker.failed_calls == 0 &&
+  return worker.has_reported && worker.failed_calls == 0 &&
          !worker.may_have_restarted && all_confirmed;
 }
 
 bool IsClockConsistent(const Worker& worker,
                        std::int64_t clock_ms,
-                       base::Micros ordered) {
+                       base::Micros decided_at) {
   const base::Micros since =
-      std::max(ordered - worker.clock_read_at, base::Micros::zero());
+      std::max(decided_at - worker.clock_read_at, base::Micros::zero());
   const double least = static_cast<double>(worker.clock_ms) +
                        base::Seconds(since) * 1000.0 * kMinClockRate -
                        static_cast<double>(base::Millis(kReorderTolerance));
--- a/scheduler/worker.h
+++ b/scheduler/worker.h
@@ -29,7 +29,7 @@
 // The loss of a worker life that may have had the run. It counts only if the
 // next life turns out not to have started the run.
 struct PossibleLoss {
-  jobs::WorkerLife life;
+  jobs::WorkerLife incarnation;
   jobs::WorkerLoss loss;
 };
 
@@ -50,7 +50,7 @@
   // Send time of the first poll since which neither the run nor its end has
   // been listed; 0 if it is not missing.
   base::Micros missing_since{};
-  bool lasting = false;
+  bool is_long_running = false;
   bool fills = false;
   bool adopted = false;  // not started by this owner, or a late start
   // The job or its task is not known, so neither is the resource usage.
@@ -87,7 +87,7 @@
 
 struct Worker {
   WorkerInfo info;
-  bool has_listing = false;  // has answered a poll under this owner's epoch
+  bool has_reported = false;  // has answered a poll under this owner's epoch
   // The stored list of lease holders names this worker for this owner.
   bool is_lease_recorded = false;
   bool is_announced = true;  // its announcement is in the store
@@ -104,7 +104,7 @@
   base::Micros poll_sent_at{};
   base::Micros next_poll_at{};
   base::Micros last_answer_at{};
-  base::Micros listing_requested_at{};  // send time of the last answered poll
+  base::Micros report_requested_at{};  // send time of the last answered poll
   // Upper bound, on this process's clock, of the end of every run there.
   base::Micros latest_lease_end{};
   // Lower bound: the latest lease end granted by a poll that was answered.
@@ -129,10 +129,10 @@
   std::deque<UnansweredStart> recent_unanswered_starts;  // oldest first
   std::map<jobs::TaskId, Run> runs;
   jobs::Resources used;
-  int lasting_runs = 0;  // runs of lasting tasks, which pin the box
-  int unknown_runs = 0;  // runs with unknown resources
-  int suspect_runs = 0;  // runs suspected of crashing the worker
-  int probe_runs = 0;    // suspects beside which nothing else is placed
+  int long_running_tasks = 0;  // runs of lasting tasks, which pin the box
+  int unknown_runs = 0;        // runs with unknown resources
+  int suspect_runs = 0;        // runs suspected of crashing the worker
+  int probe_runs = 0;          // suspects beside which nothing else is placed
   // Health, derived from ended runs and failed calls.
   double failure_rate = 0.0;  // moving average over ended runs
   int failed_calls = 0;       // since the last answer
@@ -167,12 +167,12 @@
 // before they are read.
 bool CanAcknowledgeEnds(const Worker& worker);
 
-// Whether a clock reading in the answer to a start decided at `ordered` can
+// Whether a clock reading in the answer to a start decided at `decided_at` can
 // come from the life that was listed. A worker's clock never goes back and
 // starts anew in each life.
 bool IsClockConsistent(const Worker& worker,
                        std::int64_t clock_ms,
-                       base::Micros ordered);
+                       base::Micros decided_at);
 
 // Whether the worker has both serving runs (with a latency target) and filling
 // runs.
--- a/scheduler/worker_incarnations.cc
+++ b/scheduler/worker_incarnations.cc
@@ -14,13 +14,13 @@
 
 // --- Lookup ---
 
-Worker* Scheduler::FindIncarnation(const jobs::WorkerLife& life) {
-  const auto found = this->workers.find(life);
+Worker* Scheduler::FindIncarnation(const jobs::WorkerLife& incarnation) {
+  const auto found = this->workers.find(incarnation);
   return found == this->workers.end() ? nullptr : &found->second;
 }
 
-const Worker* Scheduler::FindWorker(const jobs::WorkerLife& life) const {
-  const auto found = this->workers.find(life);
+const Worker* Scheduler::FindWorker(const jobs::WorkerLife& incarnation) const {
+  const auto found = this->workers.find(incarnation);
   return found == this->workers.end() ? nullptr : &found->second;
 }
 
@@ -36,37 +36,39 @@
   return is_match ? &found->second : nullptr;
 }
 
-Worker* Scheduler::FindHolder(const jobs::WorkerLife& life) {
-  Worker* current = this->CurrentIncarnation(life.id);
-  const bool is_holder = current && (current->info.life == life ||
-                                     current->info.life.IsAfter(life));
+Worker* Scheduler::FindHolder(const jobs::WorkerLife& incarnation) {
+  Worker* current = this->CurrentIncarnation(incarnation.id);
+  const bool is_holder =
+      current && (current->info.incarnation == incarnation ||
+                  current->info.incarnation.IsAfter(incarnation));
   return is_holder ? current : nullptr;
 }
 
-bool Scheduler::HasEnded(const jobs::WorkerLife& life) const {
-  const auto ended = this->ended_incarnations.find(life.id);
+bool Scheduler::HasEnded(const jobs::WorkerLife& incarnation) const {
+  const auto ended = this->ended_incarnations.find(incarnation.id);
   return ended != this->ended_incarnations.end() &&
-         life.born_ms <= ended->second;
+         incarnation.born_ms <= ended->second;
 }
 
 // --- New lives ---
 
 void Scheduler::UpdateWorker(const WorkerInfo& announced, base::Micros now) {
   WorkerInfo info = announced;
-  Worker* known = this->CurrentIncarnation(info.life.id);
+  Worker* known = this->CurrentIncarnation(info.incarnation.id);
   // An announcement without a start time belongs to the known life.
-  if (known && info.life.born_ms == 0)
-    info.life = known->info.life;
-  const bool is_earlier = known && known->info.life.IsAfter(info.life);
-  if (is_earlier || this->HasEnded(info.life))
+  if (known && info.incarnation.born_ms == 0)
+    info.incarnation = known->info.incarnation;
+  const bool is_earlier =
+      known && known->info.incarnation.IsAfter(info.incarnation);
+  if (is_earlier || this->HasEnded(info.incarnation))
     return;
-  if (known && info.life.IsAfter(known->info.life))
+  if (known && info.incarnation.IsAfter(known->info.incarnation))
     known = &this->ReplaceRestarted(*known, info, now);
   if (!known) {
-    known = &this->workers[info.life];
+    known = &this->workers[info.incarnation];
     ++this->worker_change_count;
     known->next_poll_at = now;
-    this->fleet.OnBoxAnnounced(info.box, info.life, info.service, now);
+    this->fleet.OnBoxAnnounced(info.box, info.incarnation, info.service, now);
   }
   const bool had_drained = known->info.draining;
   known->info = info;
@@ -74,13 +76,13 @@
   known->is_described = true;
   if (info.draining && !had_drained)
     this->actions.emplace_back(
-        LogNote{info.life.id, "is draining; placing nothing on it"});
+        LogNote{info.incarnation.id, "is draining; placing nothing on it"});
 }
 
 void Scheduler::InheritWorker(const WorkerInfo& info, base::Micros lease_end) {
-  Worker* worker = this->CurrentIncarnation(info.life.id);
+  Worker* worker = this->CurrentIncarnation(info.incarnation.id);
   if (!worker) {
-    worker = &this->workers[info.life];
+    worker = &this->workers[info.incarnation];
     worker->info = info;
     worker->is_announced = false;
   }
@@ -102,7 +104,7 @@
     return nullptr;
   }
   WorkerInfo info = worker->info;
-  info.life = answered;
+  info.incarnation = answered;
   Worker& next = this->ReplaceRestarted(*worker, info, now);
   next.is_described = false;
   return &next;
@@ -112,19 +114,19 @@
 Worker& Scheduler::ReplaceRestarted(Worker& earlier,
                                     const WorkerInfo& info,
                                     base::Micros now) {
-  const jobs::WorkerLife ended_life = earlier.info.life;
+  const jobs::WorkerLife ended_incarnation = earlier.info.incarnation;
   std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses =
       this->CollectLosses(earlier, runs, LossReason::kRestarted);
   // 1. Create the next life.
-  Worker& next = this->workers[info.life];
+  Worker& next = this->workers[info.incarnation];
   next.info = info;
   next.is_announced = earlier.is_announced;
   next.poll_sent_at = earlier.poll_sent_at;
   next.next_poll_at = now;
   // 2. Move runs that it may have started.
-  WorkerRestarted restarted{.worker = info.life,
-                            .earlier_born_ms = ended_life.born_ms,
+  WorkerRestarted restarted{.worker = info.incarnation,
+                            .earlier_born_ms = ended_incarnation.born_ms,
                             .last_end_sequence = earlier.last_processed_end};
   for (auto it = runs.begin(); it != runs.end();) {
     const bool may_be_started =
@@ -136,7 +138,7 @@
     const auto loss = losses.find(it->first);
     std::optional<PossibleLoss> possible_loss;
     if (loss != losses.end())
-      possible_loss = {.life = ended_life, .loss = loss->second};
+      possible_loss = {.incarnation = ended_incarnation, .loss = loss->second};
     this->TransferRun(next, it->first, std::move(it->second), possible_loss);
     it = runs.erase(it);
     ++restarted.transferred_runs;
@@ -151,15 +153,15 @@
   // next one does not know of the stops, so they are sent again.
   for (const UnansweredStart& start : earlier.recent_unanswered_starts) {
     if (!next.runs.contains(start.task))
-      this->actions.emplace_back(
-          StopRun{.worker = info.life, .task = start.task, .run = start.run});
+      this->actions.emplace_back(StopRun{
+          .worker = info.incarnation, .task = start.task, .run = start.run});
   }
   next.recent_unanswered_starts = std::move(earlier.recent_unanswered_starts);
   // 3. All other runs are lost.
   if (!runs.empty())
     this->HandleLostRuns(earlier, runs, losses, LossReason::kRestarted, now);
-  this->EndIncarnation(ended_life, LossReason::kRestarted, now);
-  this->fleet.OnBoxAnnounced(info.box, info.life, info.service, now);
+  this->EndIncarnation(ended_incarnation, LossReason::kRestarted, now);
+  this->fleet.OnBoxAnnounced(info.box, info.incarnation, info.service, now);
   return next;
 }
 
@@ -176,10 +178,10 @@
     Task& task = TaskAt(*job, PositionOf(id));
     const auto placed = job->progress.placed.find(KeyOf(PositionOf(id)));
     if (task.state == TaskState::kPlaced && task.run == run.number)
-      task.worker = next.info.life;
+      task.worker = next.info.incarnation;
     if (placed != job->progress.placed.end() &&
         placed->second.run == run.number) {
-      placed->second.worker = next.info.life;
+      placed->second.worker = next.info.incarnation;
       this->MarkChanged(*job);
     }
   }
@@ -196,16 +198,17 @@
   worker->is_announced = false;
   worker->withdrawn_at = now;
   if (worker->idle() && !worker->poll_in_flight)
-    this->RemoveWorker(worker->info.life, LossReason::kDeregistered, now);
+    this->RemoveWorker(worker->info.incarnation, LossReason::kDeregistered,
+                       now);
 }
 
-void Scheduler::RemoveWorker(const jobs::WorkerLife& life,
-                             LossReason sign,
+void Scheduler::RemoveWorker(const jobs::WorkerLife& incarnation,
+                             LossReason reason,
                              base::Micros now) {
-  const auto found = this->workers.find(life);
+  const auto found = this->workers.find(incarnation);
   if (found == this->workers.end())
     return;
-  this->DropAllRuns(found->second, sign, now);
+  this->DropAllRuns(found->second, reason, now);
   this->workers.erase(found);
   ++this->worker_change_count;
 }
@@ -213,33 +216,35 @@
 // Remembers the life as over. When the store has discarded its change history,
 // all rows are read again, including announcements of ended lives. Without this
 // record, such a life on a box in upkeep would be taken for its successor.
-void Scheduler::EndIncarnation(const jobs::WorkerLife& life,
-                               LossReason sign,
+void Scheduler::EndIncarnation(const jobs::WorkerLife& incarnation,
+                               LossReason reason,
                                base::Micros now) {
-  const jobs::WorkerLife ended_life = life;
-  std::int64_t& latest = this->ended_incarnations[ended_life.id];
-  latest = std::max(latest, ended_life.born_ms);
-  this->RemoveWorker(ended_life, sign, now);
+  const jobs::WorkerLife ended_incarnation = incarnation;
+  std::int64_t& latest = this->ended_incarnations[ended_incarnation.id];
+  latest = std::max(latest, ended_incarnation.born_ms);
+  this->RemoveWorker(ended_incarnation, reason, now);
 }
 
-void Scheduler::DropAllRuns(Worker& worker, LossReason sign, base::Micros now) {
+void Scheduler::DropAllRuns(Worker& worker,
+                            LossReason reason,
+                            base::Micros now) {
   if (worker.idle())
     return;
   const std::map<jobs::TaskId, Run> runs = ExtractRuns(worker);
-  this->HandleLostRuns(worker, runs, this->CollectLosses(worker, runs, sign),
-                       sign, now);
+  this->HandleLostRuns(worker, runs, this->CollectLosses(worker, runs, reason),
+                       reason, now);
 }
 
 void Scheduler::HandleLostRuns(
     const Worker& worker,
     const std::map<jobs::TaskId, Run>& runs,
     const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-    LossReason sign,
+    LossReason reason,
     base::Micros now) {
   const bool was_heard = worker.last_answer_at > base::Micros::zero();
-  WorkerLost lost{.worker = worker.info.life,
+  WorkerLost lost{.worker = worker.info.incarnation,
                   .box = worker.info.box,
-                  .reason = sign,
+                  .reason = reason,
                   .last_answer_ago = was_heard ? now - worker.last_answer_at
                                                : base::Micros(-1)};
   for (const auto& [task, run] : runs) {
@@ -256,7 +261,7 @@
   for (const auto& [task, loss] : losses) {
     if (runs.contains(task))
       this->RecordLoss(*this->FindJob(task.job), PositionOf(task),
-                       worker.info.life, loss, now);
+                       worker.info.incarnation, loss, now);
   }
   for (const auto& [task, run] : runs)
     this->HandleLostRun(task, run.number, now);
--- a/scheduler/worker_incarnations_test.cc
+++ b/scheduler/worker_incarnations_test.cc
@@ -64,7 +64,7 @@
   return text;
 }
 
-bool IsLasting(const ModelJob& job) {
+bool IsLongRunning(const ModelJob& job) {
   return job.spec.steps.back().lasting;
 }
 
@@ -79,8 +79,8 @@
   faults.restart = *rc::gen::inRange(100, 2000) / 1000.0;
   faults.failing_run = probability(300);
   faults.lost_answer = probability(100);
-  faults.lost_order = probability(100);
-  faults.late_order = probability(100);
+  faults.lost_command = probability(100);
+  faults.late_command = probability(100);
   faults.lost_save = probability(200);
   faults.late_save = probability(100);
   faults.partition = probability(300);
@@ -103,28 +103,28 @@
 BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
-  first.life.born_ms = kFirstBorn;
+  first.incarnation.born_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(first, bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn}});
+  bench.Report("w", {.incarnation = {.id = "w", .born_ms = kFirstBorn}});
   bench.AddJob("before");
   const scheduler::StartRun before = bench.NextStart();
   bench.scheduler.LeaseGranted(bench.LifeOf("w"),
                                bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(before, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kFirstBorn},
-                   .ended = {{.sequence = 5,
-                              .task = before.task,
-                              .run = before.run,
-                              .reason = RunEndReason::kSucceeded}}});
+  bench.Report("w", {.incarnation = {.id = "w", .born_ms = kFirstBorn},
+                     .ended = {{.sequence = 5,
+                                .task = before.task,
+                                .run = before.run,
+                                .reason = RunEndReason::kSucceeded}}});
   bench.Save(Only<SaveProgress>(bench.Turn()));
   bench.Turn();
   // The worker restarts, numbers its ends from 1 again, and must not receive an
   // acknowledgement for the earlier life.
   scheduler::WorkerInfo next = Bench::Worker("w");
-  next.life.born_ms = kNextBorn;
+  next.incarnation.born_ms = kNextBorn;
   bench.scheduler.UpdateWorker(next, bench.now);
-  bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn}});
+  bench.Report("w", {.incarnation = {.id = "w", .born_ms = kNextBorn}});
   bench.AddJob("after");
   const scheduler::StartRun after = bench.NextStart();
   BOOST_REQUIRE(after.task == FirstTask("after"));
@@ -134,11 +134,11 @@
                                 bench.now);
   for (const PollWorker& look : Only<PollWorker>(bench.Turn()))
     BOOST_TEST(look.acknowledged == 0);
-  bench.List("w", {.life = {.id = "w", .born_ms = kNextBorn},
-                   .ended = {{.sequence = 1,
-                              .task = after.task,
-                              .run = after.run,
-                              .reason = RunEndReason::kSucceeded}}});
+  bench.Report("w", {.incarnation = {.id = "w", .born_ms = kNextBorn},
+                     .ended = {{.sequence = 1,
+                                .task = after.task,
+                                .run = after.run,
+                                .reason = RunEndReason::kSucceeded}}});
   const auto saves = Only<SaveProgress>(bench.Turn());
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_CHECK(jobs::DecodeProgress(saves[0].text)->state ==
@@ -151,18 +151,18 @@
 BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.born_ms = kFirstBorn;
+  info.incarnation.born_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("first");
   const scheduler::StartRun first = bench.NextStart();
   bench.scheduler.LeaseGranted(first.worker, bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(first, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  bench.List("w", {.ended = {{.sequence = 1,
-                              .task = first.task,
-                              .run = first.run,
-                              .reason = RunEndReason::kSucceeded}}});
+  bench.Report("w", {.ended = {{.sequence = 1,
+                                .task = first.task,
+                                .run = first.run,
+                                .reason = RunEndReason::kSucceeded}}});
   bench.AddJob("next");
   const scheduler::StartRun next = bench.NextStart();
   BOOST_REQUIRE(next.task == FirstTask("next"));
@@ -170,11 +170,11 @@
   bench.scheduler.StartAnswered(next, scheduler::CommandOutcome::kDone,
                                 bench.now);
   // The poll in flight does not show the start yet.
-  bench.List("w", {});
+  bench.Report("w", {});
   const auto before = Only<PollWorker>(bench.Turn());
   BOOST_REQUIRE(before.size() == 1U);
   BOOST_TEST(before[0].acknowledged == 0);
-  bench.List("w", {.running = {{.task = next.task, .run = next.run}}});
+  bench.Report("w", {.running = {{.task = next.task, .run = next.run}}});
   const auto after = Only<PollWorker>(bench.Turn());
   BOOST_REQUIRE(after.size() == 1U);
   BOOST_TEST(after[0].acknowledged == 1);
@@ -185,9 +185,9 @@
 BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.born_ms = kFirstBorn;
+  info.incarnation.born_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("job");
   const scheduler::StartRun start = bench.NextStart();
   bench.scheduler.LeaseGranted(start.worker, bench.now + milliseconds(2500));
@@ -198,14 +198,14 @@
          Only<scheduler::StopRun>(bench.Turn()))
       bench.scheduler.StopAnswered(stop, scheduler::CommandOutcome::kDone,
                                    bench.now);
-    bench.List("w", {});
+    bench.Report("w", {});
   }
   BOOST_REQUIRE(!bench.scheduler.FindWorker("w")->runs.contains(start.task));
-  info.life.born_ms = kNextBorn;
+  info.incarnation.born_ms = kNextBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
   const auto stops = Only<scheduler::StopRun>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(stops.size() == 1U);
-  BOOST_CHECK(stops[0].worker == info.life);
+  BOOST_CHECK(stops[0].worker == info.incarnation);
   BOOST_TEST(stops[0].run == start.run);
 }
 
@@ -220,7 +220,7 @@
       RC_LOG() << job.id << " is "
                << base::NameOf(jobs::kJobStateNames, model->StateOf(job.id))
                << "\n";
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         RC_ASSERT(jobs::IsFinal(model->StateOf(job.id)));
     }
   });
@@ -233,7 +233,7 @@
     const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
     const auto model = RunModelWithRestarts(jobs);
     for (const ModelJob& job : jobs) {
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         continue;
       const int missing =
           job.spec.steps.back().tasks - model->RunningTasks(job.id);
