--- a/scheduler/worker_reports.cc
+++ b/scheduler/worker_reports.cc
@@ -42,9 +42,9 @@
 }  // namespace
 
 void Scheduler::WorkerReported(const jobs::WorkerLife& asked,
-                               const WorkerReport& listing,
+                               const WorkerReport& report,
                                base::Micros now) {
-  Worker* answered = this->FindResponder(asked, listing.life, now);
+  Worker* answered = this->FindResponder(asked, report.incarnation, now);
   if (!answered)
     return;
   Worker& worker = *answered;
@@ -56,8 +56,9 @@
       std::max(worker.last_acknowledged_end, worker.poll_acknowledged_end);
   worker.may_have_restarted = false;
   if (worker.failed_calls > 0)
-    this->actions.emplace_back(LogNote{worker.info.life.id, "answers again"});
-  if (!worker.has_listing) {
+    this->actions.emplace_back(
+        LogNote{worker.info.incarnation.id, "answers again"});
+  if (!worker.has_reported) {
     ++this->worker_change_count;
     this->fleet.OnBoxAnswered(worker.info.box);
     // From now on the worker refuses grants of earlier owners. Without this
@@ -67,17 +68,17 @@
       worker.latest_lease_end =
           std::min(worker.latest_lease_end, now + this->limits.max_grant);
   }
-  worker.has_listing = true;
+  worker.has_reported = true;
   worker.failed_calls = 0;
   worker.runs_presumed_over = false;
   worker.last_answer_at = now;
-  worker.listing_requested_at = worker.poll_sent_at;
-  worker.clock_ms = listing.clock_ms;
+  worker.report_requested_at = worker.poll_sent_at;
+  worker.clock_ms = report.clock_ms;
   worker.clock_read_at = now;
   this->ResolveLosses(worker, now);
   // 2. Ends go before runs: a task that ended may run there again.
   bool has_new_ends = false;
-  for (const ReportedEnd& end : listing.ended) {
+  for (const ReportedEnd& end : report.ended) {
     if (end.sequence <= worker.last_processed_end) {
       this->LogIgnoredEnd(worker, end);
       continue;
@@ -87,13 +88,13 @@
     has_new_ends = true;
   }
   // 3. Listed runs.
-  for (const ReportedRun& run : listing.running)
+  for (const ReportedRun& run : report.running)
     this->ProcessReportedRun(worker, run, now);
   // 4. Expected runs that are not listed.
-  this->ResolveMissingRuns(worker, listing, now);
+  this->ResolveMissingRuns(worker, report, now);
   this->MigrateOffUnhealthyWorker(worker, now);
   this->ThrottleFillers(worker);
-  this->AdvanceAcknowledged(worker);
+  this->AdvanceRecordedEnds(worker);
   // Ends that were not acknowledged yet are listed again at once.
   const bool has_unacknowledged_ends =
       worker.last_recorded_end > worker.last_acknowledged_end;
@@ -106,7 +107,7 @@
   if (run == worker.runs.end() || run->second.number != end.run)
     return;
   this->actions.emplace_back(
-      RunEndIgnored{.worker = worker.info.life,
+      RunEndIgnored{.worker = worker.info.incarnation,
                     .end = end,
                     .last_end_sequence = worker.last_processed_end});
 }
@@ -118,8 +119,9 @@
   if (found == worker.runs.end() || found->second.number != listed.run) {
     // An older run beside a newer one of the same task is only stopped.
     if (found != worker.runs.end()) {
-      this->actions.emplace_back(StopRun{
-          .worker = worker.info.life, .task = listed.task, .run = listed.run});
+      this->actions.emplace_back(StopRun{.worker = worker.info.incarnation,
+                                         .task = listed.task,
+                                         .run = listed.run});
       return;
     }
     this->AdoptRun(worker, listed, now);
@@ -179,7 +181,7 @@
     run.reserved = step.each;
     run.quota_usage = step.each;
     run.organisation_usage = &this->quotas.UsageOf(job->organisation);
-    run.lasting = step.lasting;
+    run.is_long_running = step.lasting;
     run.fills = step.fills;
     run.image = step.image;
     run.target_ms = step.target_ms;
@@ -208,7 +210,7 @@
          task.state == TaskState::kGivenUp);
     if (wanted) {
       task.state = TaskState::kPlaced;
-      task.worker = worker.info.life;
+      task.worker = worker.info.incarnation;
       task.run = listed.run;
       task.latest_run = std::max(task.latest_run, listed.run);
       task.is_serving = listed.percent >= 100;
@@ -216,7 +218,7 @@
         task.checkpoint = listed.checkpoint;
       job->has_started = true;
       job->progress.placed[KeyOf(PositionOf(listed.task))] = {
-          .worker = worker.info.life, .run = task.run};
+          .worker = worker.info.incarnation, .run = task.run};
       this->MarkChanged(*job);
       return;
     }
@@ -227,15 +229,15 @@
       listed.task.job,
       fmt::format("stopping run {} of task {}.{}.{} on {}: it is not needed",
                   listed.run, listed.task.occurrence, listed.task.step,
-                  listed.task.index, worker.info.life.id)});
+                  listed.task.index, worker.info.incarnation.id)});
   this->Stop(worker, listed.task, now);
 }
 
 void Scheduler::ResolveMissingRuns(Worker& worker,
-                                   const WorkerReport& listing,
+                                   const WorkerReport& report,
                                    base::Micros now) {
   std::set<jobs::TaskId> listed;
-  for (const ReportedRun& run : listing.running)
+  for (const ReportedRun& run : report.running)
     listed.insert(run.task);
   std::vector<std::pair<jobs::TaskId, Run>> missing;
   for (auto& [task, run] : worker.runs) {
@@ -264,7 +266,7 @@
     RemoveRun(worker, task);
     Job* job = this->FindJob(task.job);
     if (run.possible_loss && job && HasTask(*job, PositionOf(task)))
-      this->RecordLoss(*job, PositionOf(task), run.possible_loss->life,
+      this->RecordLoss(*job, PositionOf(task), run.possible_loss->incarnation,
                        run.possible_loss->loss, now);
     this->HandleLostRun(task, run.number, now);
   }
@@ -272,14 +274,14 @@
 
 // Applies what a call's outcome tells about the worker and about this
 // ownership. Returns null if the life is not known or over.
-Worker* Scheduler::ApplyCommandOutcome(const jobs::WorkerLife& life,
+Worker* Scheduler::ApplyCommandOutcome(const jobs::WorkerLife& incarnation,
                                        CommandOutcome outcome,
                                        base::Micros now) {
-  Worker* found = this->FindIncarnation(life);
+  Worker* found = this->FindIncarnation(incarnation);
   if (!found)
     return nullptr;
   if (outcome == CommandOutcome::kOtherIncarnation) {
-    this->EndIncarnation(life, LossReason::kOtherIncarnation, now);
+    this->EndIncarnation(incarnation, LossReason::kOtherIncarnation, now);
     return nullptr;
   }
   if (outcome == CommandOutcome::kFenced)
@@ -287,10 +289,10 @@
   return found;
 }
 
-void Scheduler::PollFailed(const jobs::WorkerLife& life,
+void Scheduler::PollFailed(const jobs::WorkerLife& incarnation,
                            CommandOutcome outcome,
                            base::Micros now) {
-  Worker* found = this->ApplyCommandOutcome(life, outcome, now);
+  Worker* found = this->ApplyCommandOutcome(incarnation, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
@@ -298,42 +300,43 @@
   if (outcome == CommandOutcome::kFenced)
     return;
   if (++worker.failed_calls == 1) {
-    this->actions.emplace_back(LogNote{
-        life.id, fmt::format("does not answer ({})",
-                             base::NameOf(kCommandOutcomeNames, outcome))});
+    this->actions.emplace_back(
+        LogNote{incarnation.id,
+                fmt::format("does not answer ({})",
+                            base::NameOf(kCommandOutcomeNames, outcome))});
   }
   worker.next_poll_at =
       now + std::min(kPollRetryDelay * worker.failed_calls, kMaxPollRetryDelay);
 }
 
-void Scheduler::StartAnswered(const StartRun& order,
+void Scheduler::StartAnswered(const StartRun& command,
                               CommandOutcome outcome,
                               base::Micros now,
                               std::int64_t clock_ms) {
-  Worker* found = this->FindHolder(order.worker);
+  Worker* found = this->FindHolder(command.worker);
   // Another life answered, so this one has not started the run.
   if (outcome == CommandOutcome::kOtherIncarnation && found) {
-    RemoveRun(*found, order.task);
-    this->HandleLostRun(order.task, order.run, now);
+    RemoveRun(*found, command.task);
+    this->HandleLostRun(command.task, command.run, now);
   }
   // Otherwise the run has moved to a later life, and the answer tells nothing
   // about that one.
-  if (!found || found->info.life == order.worker)
-    found = this->ApplyCommandOutcome(order.worker, outcome, now);
+  if (!found || found->info.incarnation == command.worker)
+    found = this->ApplyCommandOutcome(command.worker, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
-  const auto entry = worker.runs.find(order.task);
-  if (entry == worker.runs.end() || entry->second.number != order.run)
+  const auto entry = worker.runs.find(command.task);
+  if (entry == worker.runs.end() || entry->second.number != command.run)
     return;
   Run& run = entry->second;
-  Job* job = this->FindJob(order.task.job);
-  if (worker.info.life != order.worker)
+  Job* job = this->FindJob(command.task.job);
+  if (worker.info.incarnation != command.worker)
     worker.latest_lease_end =
         std::max(worker.latest_lease_end, now + this->limits.max_lease);
   if (outcome == CommandOutcome::kDone) {
     run.start_answered_at = now;
-    this->CheckClock(worker, order, run, clock_ms, now);
+    this->CheckClock(worker, command, run, clock_ms, now);
     worker.consecutive_unanswered_starts = 0;
     if (job)
       job->has_started = true;
@@ -346,37 +349,37 @@
       run.state = RunState::kUnsettled;
     run.start_unsettled_at = now;
     RecordUnansweredStart(
-        worker, {.task = order.task, .run = order.run, .given_up_at = now});
+        worker, {.task = command.task, .run = command.run, .given_up_at = now});
     ++worker.failed_calls;
     this->QuarantineIfStartsUnanswered(worker, now);
     return;
   }
   // The start was not carried out: free the resources and place the task again.
-  RemoveRun(worker, order.task);
-  if (job && HasTask(*job, PositionOf(order.task)))
-    this->RevokeLastTry(*job, PositionOf(order.task), order.run);
+  RemoveRun(worker, command.task);
+  if (job && HasTask(*job, PositionOf(command.task)))
+    this->RevokeLastTry(*job, PositionOf(command.task), command.run);
   if (outcome == CommandOutcome::kNotSent)
     ++worker.failed_calls;
   if (outcome == CommandOutcome::kBusy)
     this->UpdateFailureRate(worker, true, now);
   if (outcome == CommandOutcome::kNoTicket && job &&
-      HasTask(*job, PositionOf(order.task)))
-    StepAt(*job, PositionOf(order.task)).advice.tickets.erase(order.worker);
+      HasTask(*job, PositionOf(command.task)))
+    StepAt(*job, PositionOf(command.task)).advice.tickets.erase(command.worker);
   if (outcome == CommandOutcome::kNoCapacity ||
       outcome == CommandOutcome::kLeaseExpired)
     worker.quarantined_until =
         std::max(worker.quarantined_until, now + kPollRetryDelay);
-  this->HandleLostRun(order.task, order.run, now);
+  this->HandleLostRun(command.task, command.run, now);
 }
 
 // Confirms the run if the answer's clock shows that the listed life, rather
 // than a later one, answered the start.
 void Scheduler::CheckClock(Worker& worker,
-                           const StartRun& order,
+                           const StartRun& command,
                            Run& run,
                            std::int64_t clock_ms,
                            base::Micros now) {
-  if (worker.info.life != order.worker)
+  if (worker.info.incarnation != command.worker)
     return;
   worker.failed_calls = 0;
   if (clock_ms <= 0)
@@ -396,19 +399,19 @@
   worker.consecutive_unanswered_starts = 0;
   worker.quarantined_until = now + kUnansweredStartsQuarantine;
   this->actions.emplace_back(
-      LogNote{worker.info.life.id,
+      LogNote{worker.info.incarnation.id,
               fmt::format("did not answer {} starts in a row; placing nothing "
                           "on it for {:.0f} s",
                           kMaxUnansweredStarts,
                           base::Seconds(kUnansweredStartsQuarantine))});
 }
 
-bool Scheduler::IsStillNeeded(const StartRun& order) const {
-  const Worker* worker = this->FindWorker(order.worker);
+bool Scheduler::IsStillNeeded(const StartRun& command) const {
+  const Worker* worker = this->FindWorker(command.worker);
   if (!worker)
     return false;
-  const auto run = worker->runs.find(order.task);
-  return run != worker->runs.end() && run->second.number == order.run &&
+  const auto run = worker->runs.find(command.task);
+  return run != worker->runs.end() && run->second.number == command.run &&
          run->second.state == RunState::kStarting;
 }
 
@@ -433,19 +436,19 @@
   // An earlier stop was sent for a start with an open outcome; its answer does
   // not settle this stop.
   run.stop_answered_at = {};
-  this->actions.emplace_back(
-      StopRun{.worker = worker.info.life, .task = task, .run = run.number});
+  this->actions.emplace_back(StopRun{
+      .worker = worker.info.incarnation, .task = task, .run = run.number});
 }
 
-void Scheduler::StopAnswered(const StopRun& order,
+void Scheduler::StopAnswered(const StopRun& command,
                              CommandOutcome outcome,
                              base::Micros now) {
-  Worker* found = this->ApplyCommandOutcome(order.worker, outcome, now);
+  Worker* found = this->ApplyCommandOutcome(command.worker, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
-  const auto run = worker.runs.find(order.task);
-  if (run == worker.runs.end() || run->second.number != order.run)
+  const auto run = worker.runs.find(command.task);
+  if (run == worker.runs.end() || run->second.number != command.run)
     return;
   const bool settled = outcome == CommandOutcome::kDone ||
                        outcome == CommandOutcome::kSuperseded;
@@ -467,8 +470,8 @@
                                    run.stop_answered_at == base::Micros::zero();
       // A lasting task may be at work by now while others of its step are
       // away, so it is stopped only after a listing that does not show it.
-      const bool may_work =
-          run.lasting && worker.listing_requested_at <= run.start_unsettled_at;
+      const bool may_work = run.is_long_running && worker.report_requested_at <=
+                                                       run.start_unsettled_at;
       const bool start_open = run.state == RunState::kUnsettled && !may_work &&
                               run.stop_answered_at == base::Micros::zero();
       if ((!stop_unanswered && !start_open) ||
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -45,7 +45,7 @@
   }
 
   static scheduler::WorkerInfo Worker(const std::string& id) {
-    return {.life = {.id = id},
+    return {.incarnation = {.id = id},
             .box = "box-" + id,
             .service = "pool",
             .address = id,
@@ -63,7 +63,7 @@
     return step;
   }
 
-  static jobs::Step OneLastingTask() {
+  static jobs::Step OneLongRunningTask() {
     jobs::Step step = OneTask();
     step.lasting = true;
     return step;
@@ -83,27 +83,27 @@
         scheduler::MakeJob(id, queue, spec, {}, this->now, {}), this->now);
   }
 
-  // Sends a look to the worker and delivers `listing` as its answer 10 ms
+  // Sends a look to the worker and delivers `report` as its answer 10 ms
   // later. The look grants a lease if `grant` is positive.
-  void List(const std::string& worker,
-            scheduler::WorkerReport listing,
-            base::Micros grant = {}) {
+  void Report(const std::string& worker,
+              scheduler::WorkerReport report,
+              base::Micros grant = {}) {
     const jobs::WorkerLife asked = this->LifeOf(worker);
-    if (listing.life.empty())
-      listing.life = asked;
+    if (report.incarnation.empty())
+      report.incarnation = asked;
     this->scheduler.PollSent({.worker = asked}, this->now);
     if (grant > base::Micros{})
       this->scheduler.PollGrantsLease(asked, grant);
     this->now += std::chrono::milliseconds(10);
-    listing.clock_ms = this->now.count() / 1000;
-    this->scheduler.WorkerReported(asked, listing, this->now);
+    report.clock_ms = this->now.count() / 1000;
+    this->scheduler.WorkerReported(asked, report, this->now);
     this->scheduler.WorkersRecorded({this->LifeOf(worker)});
   }
 
   // Returns the worker life that the scheduler knows under the id.
   jobs::WorkerLife LifeOf(const std::string& id) const {
     const scheduler::Worker* known = this->scheduler.FindWorker(id);
-    return known ? known->info.life : jobs::WorkerLife{.id = id};
+    return known ? known->info.incarnation : jobs::WorkerLife{.id = id};
   }
 
   // Confirms the ownership for the next 1.15 s.
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -59,7 +59,7 @@
 void SchedulerModel::ScheduleAfter(base::Micros delay,
                                    std::function<void()> action) {
   this->events.push_back({.at = this->now + delay,
-                          .order = ++this->event_count,
+                          .command = ++this->event_count,
                           .action = std::move(action)});
 }
 
@@ -85,7 +85,7 @@
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
           "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
-          jobs::TextOf(id), worker.has_listing, worker.failed_calls,
+          jobs::TextOf(id), worker.has_reported, worker.failed_calls,
           worker.poll_in_flight, base::Seconds(worker.latest_lease_end));
       for (const auto& [task, run] : worker.runs) {
         text +=
@@ -98,28 +98,28 @@
 }
 
 void SchedulerModel::AddBox(const std::string& pool) {
-  const std::string name = fmt::format("box{}", this->worker_lives);
+  const std::string name = fmt::format("box{}", this->incarnation_count);
   this->boxes[name].pool = pool;
   this->AddWorker(name);
 }
 
 void SchedulerModel::AddWorker(const std::string& box) {
   Worker worker;
-  worker.id = fmt::format("w{}", ++this->worker_lives);
+  worker.id = fmt::format("w{}", ++this->incarnation_count);
   worker.born_ms = base::Millis(this->now);
   worker.box = box;
   worker.capacity = kWorkerCapacity;
   worker.clock_rate = this->Chance(0.5) ? 1.0 : 0.98;
   worker.clock_offset = this->Between(0, 1'000'000);
   const scheduler::WorkerInfo info = this->InfoOf(worker);
-  this->workers[info.life.id] = std::move(worker);
+  this->workers[info.incarnation.id] = std::move(worker);
   for (Owner& owner : this->owners)
     owner.scheduler->UpdateWorker(info, this->now);
 }
 
 scheduler::WorkerInfo SchedulerModel::InfoOf(const Worker& worker) const {
   const auto box = this->boxes.find(worker.box);
-  return {.life = {.id = worker.id, .born_ms = worker.born_ms},
+  return {.incarnation = {.id = worker.id, .born_ms = worker.born_ms},
           .box = worker.box,
           .service = box == this->boxes.end() ? "pool" : box->second.pool,
           .address = worker.id,
@@ -150,13 +150,14 @@
 
 // Stores the listed workers as held by this owner. This precedes each worker's
 // first lease from it.
-void SchedulerModel::RecordListed(Owner& owner) {
+void SchedulerModel::RecordLeaseHolders(Owner& owner) {
   std::vector<jobs::WorkerLife> held;
-  for (const auto& [life, worker] : owner.scheduler->all_workers()) {
-    if (!worker.has_listing || worker.is_lease_recorded)
+  for (const auto& [incarnation, worker] : owner.scheduler->all_workers()) {
+    if (!worker.has_reported || worker.is_lease_recorded)
       continue;
-    held.push_back(life);
-    this->leases[life.id] = {.life = life, .until = std::nullopt};
+    held.push_back(incarnation);
+    this->leases[incarnation.id] = {.incarnation = incarnation,
+                                    .until = std::nullopt};
   }
   owner.scheduler->WorkersRecorded(held);
 }
@@ -181,7 +182,8 @@
       static_cast<double>(kLongestLease.count()) * kClockDriftFactor));
   limits.max_stop_time = milliseconds(400);
   limits.epoch = epoch;
-  limits.fleet = {.move_duration = kMoveTime, .upkeep_duration = kUpkeepTime};
+  limits.fleet = {.move_duration = kMoveTime,
+                  .maintenance_duration = kMaintenanceTime};
   Owner owner;
   owner.epoch = epoch;
   owner.scheduler = std::make_unique<scheduler::Scheduler>(limits);
@@ -202,7 +204,7 @@
       if (!until)
         until = this->last_confirmed + bound;
       scheduler::WorkerInfo held = info;
-      held.life = lease->second.life;
+      held.incarnation = lease->second.incarnation;
       successor.InheritWorker(held, *until);
     }
     if (!worker.silent && worker.announced)
@@ -253,7 +255,7 @@
     return true;
   });
   std::sort(due.begin(), due.end(), [](const Event& a, const Event& b) {
-    return std::pair(a.at, a.order) < std::pair(b.at, b.order);
+    return std::pair(a.at, a.command) < std::pair(b.at, b.command);
   });
   for (const Event& event : due)
     event.action();
@@ -384,7 +386,7 @@
   this->ListBoxes(index);
   // The store refuses the list of a stale owner because of its epoch.
   if (index + 1 == this->owners.size())
-    this->RecordListed(owner);
+    this->RecordLeaseHolders(owner);
   owner.scheduler->Advance(this->now);
   for (const scheduler::Action& action : owner.scheduler->TakeActions())
     this->Dispatch(index, action);
@@ -399,15 +401,16 @@
   else if (const auto* stop = std::get_if<scheduler::StopRun>(&action))
     this->SendStop(owner, *stop);
   else if (const auto* look = std::get_if<scheduler::PollWorker>(&action))
-    this->SendLook(owner, *look);
+    this->SendPoll(owner, *look);
   else if (const auto* save = std::get_if<scheduler::SaveProgress>(&action))
     this->Save(owner, *save);
   else if (const auto* read = std::get_if<scheduler::LoadJob>(&action))
     this->ReadJob(owner, read->job);
   else if (const auto* move = std::get_if<scheduler::MoveBox>(&action))
     this->RecordCall(owner, *move);
-  else if (const auto* upkeep = std::get_if<scheduler::MaintainBox>(&action))
-    this->RecordCall(owner, *upkeep);
+  else if (const auto* maintenance =
+               std::get_if<scheduler::MaintainBox>(&action))
+    this->RecordCall(owner, *maintenance);
   else if (const auto* lost = std::get_if<scheduler::WorkerLost>(&action))
     this->LogEvent(
         fmt::format("owner {}: {} is lost ({}) with {} runs",
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -23,11 +23,11 @@
 
 // Probabilities, per message unless stated otherwise.
 struct ModelFaults {
-  double lost_answer = 0.0;  // an order is carried out, but its answer is lost
-  double lost_order = 0.0;   // an order never arrives
-  double late_order = 0.0;   // carried out 2 to 6 s later, never answered
-  double lost_save = 0.0;    // a save is carried out, but its answer is lost
-  double late_save = 0.0;    // tried 1 to 4 s later, never answered
+  double lost_answer = 0.0;   // an order is carried out, but its answer is lost
+  double lost_command = 0.0;  // an order never arrives
+  double late_command = 0.0;  // carried out 2 to 6 s later, never answered
+  double lost_save = 0.0;     // a save is carried out, but its answer is lost
+  double late_save = 0.0;     // tried 1 to 4 s later, never answered
   // Per second: the part of the store with a job's row doesn't answer for 1 to
   // 6 s. Half of the saves in that time are lost, half are carried out after
   // it.
@@ -74,7 +74,8 @@
 
 // How long a box is away for a move or for its upkeep.
 inline constexpr base::Micros kMoveTime = std::chrono::milliseconds(1500);
-inline constexpr base::Micros kUpkeepTime = std::chrono::milliseconds(2000);
+inline constexpr base::Micros kMaintenanceTime =
+    std::chrono::milliseconds(2000);
 
 class SchedulerModel {
  public:
@@ -95,7 +96,7 @@
   // Starts an upkeep wave over all boxes, at most `max_at_once` at a time.
   void BeginWave(int max_at_once);
   // Number of boxes that have had their upkeep.
-  int UpkeepsDone() const;
+  int MaintainedBoxes() const;
 
   // Descriptions of the violated invariants.
   const std::vector<std::string>& violations() const {
@@ -169,12 +170,12 @@
     scheduler::BoxState state = scheduler::BoxState::kUp;
     base::Micros available_at{};
     std::uint64_t epoch = 0;  // highest seen
-    bool had_upkeep = false;
+    bool had_maintenance = false;
   };
   // State of a lasting task for the limit on tasks that may be away.
   struct Presence {
     base::Micros last_at_work{};
-    bool is_away_by_order = false;
+    bool is_away_by_command = false;
   };
   struct Owner {
     std::unique_ptr<scheduler::Scheduler> scheduler;
@@ -187,7 +188,7 @@
   };
   struct Event {
     base::Micros at{};
-    std::uint64_t order = 0;
+    std::uint64_t command = 0;
     std::function<void()> action;
   };
 
@@ -213,7 +214,8 @@
                    const scheduler::BoxCall& call,
                    bool is_answered);
   scheduler::BoxCallOutcome ExecuteMove(const scheduler::MoveBox& call);
-  scheduler::BoxCallOutcome ExecuteUpkeep(const scheduler::MaintainBox& call);
+  scheduler::BoxCallOutcome ExecuteMaintenance(
+      const scheduler::MaintainBox& call);
   void DeliverCallOutcome(std::size_t owner,
                           const scheduler::BoxCall& call,
                           scheduler::BoxCallOutcome outcome);
@@ -222,16 +224,16 @@
                    base::Micros span);
   void CheckDisruption(const jobs::TaskId& task, const std::string& by);
   void UpdatePresence();
-  void RecordListed(Owner& owner);
+  void RecordLeaseHolders(Owner& owner);
   scheduler::Job MakeJob(const std::string& id, jobs::Progress progress) const;
   // Delivers the job as submitted, as the store's change feed does.
   void DeliverJobFromFeed(std::size_t owner, const std::string& id);
   void ReadJob(std::size_t owner, const std::string& id);
   void RunOwner(std::size_t owner);
   void Dispatch(std::size_t owner, const scheduler::Action& action);
-  void SendStart(std::size_t owner, const scheduler::StartRun& order);
-  void SendStop(std::size_t owner, const scheduler::StopRun& order);
-  void SendLook(std::size_t owner, const scheduler::PollWorker& order);
+  void SendStart(std::size_t owner, const scheduler::StartRun& command);
+  void SendStop(std::size_t owner, const scheduler::StopRun& command);
+  void SendPoll(std::size_t owner, const scheduler::PollWorker& command);
   void Save(std::size_t owner, const scheduler::SaveProgress& save);
   void Deliver(
       std::size_t owner,
@@ -239,16 +241,16 @@
       const std::function<scheduler::CommandOutcome(Worker&)>& carry_out,
       const std::function<void(scheduler::CommandOutcome)>& answer);
   scheduler::CommandOutcome BeginRun(Worker& worker,
-                                     const scheduler::StartRun& order,
+                                     const scheduler::StartRun& command,
                                      std::uint64_t epoch,
                                      base::Micros deadline);
-  void CheckStart(const Worker& worker, const scheduler::StartRun& order);
-  void CheckCrashLimit(const scheduler::StartRun& order);
-  void ScheduleCrash(const Worker& worker, const scheduler::StartRun& order);
+  void CheckStart(const Worker& worker, const scheduler::StartRun& command);
+  void CheckCrashLimit(const scheduler::StartRun& command);
+  void ScheduleCrash(const Worker& worker, const scheduler::StartRun& command);
   void CrashWorker(Worker& worker);
   void CountLosses(const Worker& worker);
   void Restart(Worker& worker);
-  void BeginNextLife(Worker& worker);
+  void BeginNextIncarnation(Worker& worker);
   void ChangeCapacity(const std::string& id, const jobs::Resources& capacity);
   void EndRun(Worker& worker,
               const jobs::TaskId& task,
@@ -258,7 +260,7 @@
   // Called for a start or a look, both of which grant a lease.
   void GrantLease(Worker& worker, base::Micros deadline) const;
   base::Micros ClockOf(const Worker& worker) const;
-  scheduler::WorkerReport ListingOf(const Worker& worker) const;
+  scheduler::WorkerReport ReportOf(const Worker& worker) const;
   void ReportViolation(const std::string& what);
   void LogEvent(const std::string& what);
 
@@ -269,7 +271,7 @@
   // The stored list of workers that may hold a lease. `until`: the end of the
   // lease, if the current owner has not listed the worker yet.
   struct Lease {
-    jobs::WorkerLife life;
+    jobs::WorkerLife incarnation;
     std::optional<base::Micros> until;
   };
   std::map<std::string, Lease> leases;
@@ -286,7 +288,7 @@
   std::map<jobs::TaskId, Presence> presence;
   bool is_confirming = true;  // the store confirms the newest owner
   base::Micros last_confirmed{};
-  int worker_lives = 0;
+  int incarnation_count = 0;
   int start_count = 0;
   int crash_count = 0;
   std::vector<std::string> violations_found;
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -45,10 +45,10 @@
       worker.running.erase(task);
     }
     worker.alive = false;
-    this->ScheduleAfter(this->Between(300, 3000), [this, life = id] {
-      this->workers.at(life).announced = false;
+    this->ScheduleAfter(this->Between(300, 3000), [this, incarnation = id] {
+      this->workers.at(incarnation).announced = false;
       for (Owner& owner : this->owners)
-        owner.scheduler->WorkerDeregistered(life, this->now);
+        owner.scheduler->WorkerDeregistered(incarnation, this->now);
     });
   }
   box.state = state;
@@ -104,16 +104,16 @@
   std::vector<std::string> begun;
   for (const auto& [name, box] : this->boxes) {
     wave.boxes.push_back(name);
-    if (box.had_upkeep)
+    if (box.had_maintenance)
       begun.push_back(name);
   }
   owner.SetWave(wave, begun, this->now);
 }
 
-int SchedulerModel::UpkeepsDone() const {
-  return static_cast<int>(
-      std::count_if(this->boxes.begin(), this->boxes.end(),
-                    [](const auto& entry) { return entry.second.had_upkeep; }));
+int SchedulerModel::MaintainedBoxes() const {
+  return static_cast<int>(std::count_if(
+      this->boxes.begin(), this->boxes.end(),
+      [](const auto& entry) { return entry.second.had_maintenance; }));
 }
 
 // --- Calls ---
@@ -184,10 +184,10 @@
       outcome = BoxCallOutcome::kFenced;
     } else {
       found->second.epoch = epoch;
-      outcome =
-          std::holds_alternative<scheduler::MoveBox>(call)
-              ? this->ExecuteMove(std::get<scheduler::MoveBox>(call))
-              : this->ExecuteUpkeep(std::get<scheduler::MaintainBox>(call));
+      outcome = std::holds_alternative<scheduler::MoveBox>(call)
+                    ? this->ExecuteMove(std::get<scheduler::MoveBox>(call))
+                    : this->ExecuteMaintenance(
+                          std::get<scheduler::MaintainBox>(call));
     }
   }
   this->LogEvent(fmt::format(
@@ -210,10 +210,10 @@
   return BoxCallOutcome::kDone;
 }
 
-BoxCallOutcome SchedulerModel::ExecuteUpkeep(
+BoxCallOutcome SchedulerModel::ExecuteMaintenance(
     const scheduler::MaintainBox& call) {
   Box& box = this->boxes.at(call.box);
-  if (box.had_upkeep)
+  if (box.had_maintenance)
     return BoxCallOutcome::kDone;
   if (box.state != BoxState::kUp)
     return BoxCallOutcome::kBusy;
@@ -224,8 +224,8 @@
   if (down >= this->wave_limit)
     this->ReportViolation(fmt::format(
         "upkeep of {} starts while {} boxes are in upkeep", call.box, down));
-  this->ShutDownBox(call.box, BoxState::kMaintenance, kUpkeepTime);
-  box.had_upkeep = true;
+  this->ShutDownBox(call.box, BoxState::kMaintenance, kMaintenanceTime);
+  box.had_maintenance = true;
   return BoxCallOutcome::kDone;
 }
 
@@ -254,7 +254,7 @@
     for (const auto& [task, run] : worker.running) {
       if (worker.alive && !run.stopping)
         this->presence[task] = {.last_at_work = this->now,
-                                .is_away_by_order = false};
+                                .is_away_by_command = false};
     }
   }
 }
@@ -277,14 +277,14 @@
   for (const auto& [other, presence] : this->presence) {
     const bool counts = other.job == task.job && other.step == task.step &&
                         other.index != task.index;
-    away += counts && (presence.is_away_by_order ||
+    away += counts && (presence.is_away_by_command ||
                        this->now - presence.last_at_work >= kAwayThreshold);
   }
   if (away >= step.may_be_away)
     this->ReportViolation(
         fmt::format("{} stops {}.{} while {} other tasks of its step are away",
                     by, task.job, task.index, away));
-  found->second.is_away_by_order = true;
+  found->second.is_away_by_command = true;
 }
 
 }  // namespace quartzhoist::testing
--- a/testing/scheduler_model_messages.cc
+++ b/testing/scheduler_model_messages.cc
@@ -13,7 +13,7 @@
 using scheduler::CommandOutcome;
 using std::chrono::milliseconds;
 
-constexpr base::Micros kOrderTimeout = milliseconds(800);
+constexpr base::Micros kCommandTimeout = milliseconds(800);
 
 }  // namespace
 
@@ -55,23 +55,23 @@
                                       : CommandOutcome::kOtherIncarnation);
     return;
   }
-  if (is_partitioned || this->Chance(this->faults.lost_order)) {
-    answer_after(kOrderTimeout, CommandOutcome::kUnknown);
+  if (is_partitioned || this->Chance(this->faults.lost_command)) {
+    answer_after(kCommandTimeout, CommandOutcome::kUnknown);
     return;
   }
-  const bool late = this->Chance(this->faults.late_order);
+  const bool late = this->Chance(this->faults.late_command);
   const bool lost = late || this->Chance(this->faults.lost_answer);
   const base::Micros delay =
       late ? this->Between(2000, 6000) : this->Between(1, 30);
   if (lost)
-    answer_after(kOrderTimeout, CommandOutcome::kUnknown);
+    answer_after(kCommandTimeout, CommandOutcome::kUnknown);
   // An order that is under way is lost when the worker life ends.
   this->ScheduleAfter(delay, [this, id, carry_out, lost, answer_after,
                               born = found->second.born_ms] {
     Worker& worker = this->workers.at(id);
     if (!worker.alive || worker.born_ms != born) {
       if (!lost)
-        answer_after(kOrderTimeout, CommandOutcome::kUnknown);
+        answer_after(kCommandTimeout, CommandOutcome::kUnknown);
       return;
     }
     const CommandOutcome outcome = carry_out(worker);
@@ -81,85 +81,87 @@
 }
 
 void SchedulerModel::SendStart(std::size_t index,
-                               const scheduler::StartRun& order) {
+                               const scheduler::StartRun& command) {
   scheduler::Scheduler& sender = *this->owners[index].scheduler;
   const base::Micros end = sender.LeaseEnd(this->now);
   const base::Micros deadline =
-      milliseconds(sender.LeaseDeadline(order.worker, end));
+      milliseconds(sender.LeaseDeadline(command.worker, end));
   if (deadline <= base::Micros::zero() || end <= this->now ||
-      !sender.IsStillNeeded(order)) {
-    sender.StartAnswered(order, CommandOutcome::kNotSent, this->now);
+      !sender.IsStillNeeded(command)) {
+    sender.StartAnswered(command, CommandOutcome::kNotSent, this->now);
     return;
   }
-  sender.LeaseGranted(order.worker, end);
+  sender.LeaseGranted(command.worker, end);
   const std::uint64_t epoch = this->owners[index].epoch;
   auto clock = std::make_shared<base::Micros>();
   this->Deliver(
-      index, order.worker.id,
-      [this, order, epoch, deadline, clock](Worker& worker) {
+      index, command.worker.id,
+      [this, command, epoch, deadline, clock](Worker& worker) {
         *clock = this->ClockOf(worker);
-        return this->BeginRun(worker, order, epoch, deadline);
+        return this->BeginRun(worker, command, epoch, deadline);
       },
-      [this, index, order, clock](CommandOutcome outcome) {
-        this->owners[index].scheduler->StartAnswered(order, outcome, this->now,
-                                                     base::Millis(*clock));
+      [this, index, command, clock](CommandOutcome outcome) {
+        this->owners[index].scheduler->StartAnswered(
+            command, outcome, this->now, base::Millis(*clock));
       });
 }
 
 void SchedulerModel::SendStop(std::size_t index,
-                              const scheduler::StopRun& order) {
+                              const scheduler::StopRun& command) {
   const std::uint64_t epoch = this->owners[index].epoch;
   this->Deliver(
-      index, order.worker.id,
-      [this, order, epoch](Worker& worker) {
+      index, command.worker.id,
+      [this, command, epoch](Worker& worker) {
         if (epoch < worker.epoch)
           return CommandOutcome::kFenced;
         worker.epoch = epoch;
-        int& over = worker.highest_over_run[order.task];
-        over = std::max(over, order.run);
-        const auto run = worker.running.find(order.task);
-        if (run != worker.running.end() && run->second.number == order.run &&
+        int& over = worker.highest_over_run[command.task];
+        over = std::max(over, command.run);
+        const auto run = worker.running.find(command.task);
+        if (run != worker.running.end() && run->second.number == command.run &&
             !run->second.stopping) {
-          this->CheckDisruption(order.task, "stop order");
+          this->CheckDisruption(command.task, "stop order");
           run->second.stopping = true;
           run->second.ends = this->now + this->Between(0, 380);
         }
         return CommandOutcome::kDone;
       },
-      [this, index, order](CommandOutcome outcome) {
-        this->owners[index].scheduler->StopAnswered(order, outcome, this->now);
+      [this, index, command](CommandOutcome outcome) {
+        this->owners[index].scheduler->StopAnswered(command, outcome,
+                                                    this->now);
       });
 }
 
-void SchedulerModel::SendLook(std::size_t index,
-                              const scheduler::PollWorker& order) {
+void SchedulerModel::SendPoll(std::size_t index,
+                              const scheduler::PollWorker& command) {
   scheduler::Scheduler& sender = *this->owners[index].scheduler;
   const base::Micros end = sender.LeaseEnd(this->now);
   const base::Micros deadline =
-      order.renews_lease ? milliseconds(sender.LeaseDeadline(order.worker, end))
-                         : milliseconds(0);
-  sender.PollSent(order, this->now);
+      command.renews_lease
+          ? milliseconds(sender.LeaseDeadline(command.worker, end))
+          : milliseconds(0);
+  sender.PollSent(command, this->now);
   if (deadline > base::Micros::zero())
-    sender.PollGrantsLease(order.worker, end);
+    sender.PollGrantsLease(command.worker, end);
   const std::uint64_t epoch = this->owners[index].epoch;
-  auto listing = std::make_shared<scheduler::WorkerReport>();
+  auto report = std::make_shared<scheduler::WorkerReport>();
   this->Deliver(
-      index, order.worker.id,
-      [this, order, epoch, deadline, listing](Worker& worker) {
+      index, command.worker.id,
+      [this, command, epoch, deadline, report](Worker& worker) {
         if (epoch < worker.epoch)
           return CommandOutcome::kFenced;
         worker.epoch = epoch;
         this->GrantLease(worker, deadline);
-        this->AcknowledgeEnds(worker, order.acknowledged);
-        *listing = this->ListingOf(worker);
+        this->AcknowledgeEnds(worker, command.acknowledged);
+        *report = this->ReportOf(worker);
         return CommandOutcome::kDone;
       },
-      [this, index, order, listing](CommandOutcome outcome) {
+      [this, index, command, report](CommandOutcome outcome) {
         scheduler::Scheduler& owner = *this->owners[index].scheduler;
         if (outcome == CommandOutcome::kDone)
-          owner.WorkerReported(order.worker, *listing, this->now);
+          owner.WorkerReported(command.worker, *report, this->now);
         else
-          owner.PollFailed(order.worker, outcome, this->now);
+          owner.PollFailed(command.worker, outcome, this->now);
       });
 }
 
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -33,7 +33,7 @@
 }
 
 CommandOutcome SchedulerModel::BeginRun(Worker& worker,
-                                        const scheduler::StartRun& order,
+                                        const scheduler::StartRun& command,
                                         std::uint64_t epoch,
                                         base::Micros deadline) {
   if (epoch < worker.epoch)
@@ -42,52 +42,54 @@
   if (deadline < this->ClockOf(worker))
     return CommandOutcome::kLeaseExpired;
   this->GrantLease(worker, deadline);
-  const auto over = worker.highest_over_run.find(order.task);
-  const auto run = worker.running.find(order.task);
-  if (run != worker.running.end() && run->second.number == order.run)
+  const auto over = worker.highest_over_run.find(command.task);
+  const auto run = worker.running.find(command.task);
+  if (run != worker.running.end() && run->second.number == command.run)
     return CommandOutcome::kDone;
-  if (over != worker.highest_over_run.end() && order.run <= over->second)
+  if (over != worker.highest_over_run.end() && command.run <= over->second)
     return CommandOutcome::kSuperseded;
-  this->CheckStart(worker, order);
-  this->CheckCrashLimit(order);
+  this->CheckStart(worker, command);
+  this->CheckCrashLimit(command);
   this->LogEvent(fmt::format("{} starts {} {}.{} run {}", worker.id,
-                             order.task.job, order.task.step, order.task.index,
-                             order.run));
+                             command.task.job, command.task.step,
+                             command.task.index, command.run));
   ++this->start_count;
   const jobs::Step& step =
-      this->jobs.at(order.task.job)
-          .job.spec.steps[static_cast<std::size_t>(order.task.step)];
+      this->jobs.at(command.task.job)
+          .job.spec.steps[static_cast<std::size_t>(command.task.step)];
   const bool fails = this->Chance(this->faults.failing_run);
   base::Micros ends = this->now + this->Between(200, 2500);
   const bool crashes =
-      this->jobs.at(order.task.job)
-          .job.crashing.contains(scheduler::PositionOf(order.task));
+      this->jobs.at(command.task.job)
+          .job.crashing.contains(scheduler::PositionOf(command.task));
   if (crashes || (step.lasting && !fails))
     ends = base::Micros::max();
-  worker.running[order.task] = {
-      .number = order.run, .ends = ends, .fails = fails};
-  this->ScheduleCrash(worker, order);
+  worker.running[command.task] = {
+      .number = command.run, .ends = ends, .fails = fails};
+  this->ScheduleCrash(worker, command);
   return CommandOutcome::kDone;
 }
 
 void SchedulerModel::ScheduleCrash(const Worker& worker,
-                                   const scheduler::StartRun& order) {
-  const ModelJob& job = this->jobs.at(order.task.job).job;
-  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
-  if (!job.crashing.contains(place))
+                                   const scheduler::StartRun& command) {
+  const ModelJob& job = this->jobs.at(command.task.job).job;
+  const scheduler::TaskPosition position = scheduler::PositionOf(command.task);
+  if (!job.crashing.contains(position))
     return;
-  this->ScheduleAfter(job.crash_after, [this, id = worker.id, order, place] {
-    Worker& current = this->workers.at(id);
-    const auto run = current.running.find(order.task);
-    if (!current.alive || run == current.running.end() ||
-        run->second.number != order.run)
-      return;
-    this->LogEvent(fmt::format("{} crashes under {} {}.{}", id, order.task.job,
-                               place.step, place.index));
-    ++this->jobs.at(order.task.job).crashes[place];
-    ++this->crash_count;
-    this->CrashWorker(current);
-  });
+  this->ScheduleAfter(
+      job.crash_after, [this, id = worker.id, command, position] {
+        Worker& current = this->workers.at(id);
+        const auto run = current.running.find(command.task);
+        if (!current.alive || run == current.running.end() ||
+            run->second.number != command.run)
+          return;
+        this->LogEvent(fmt::format("{} crashes under {} {}.{}", id,
+                                   command.task.job, position.step,
+                                   position.index));
+        ++this->jobs.at(command.task.job).crashes[position];
+        ++this->crash_count;
+        this->CrashWorker(current);
+      });
 }
 
 // The worker is back under its id before its announcement expires, so the
@@ -99,11 +101,11 @@
   worker.restarting = true;
   worker.running.clear();
   this->ScheduleAfter(this->Between(20, 1500), [this, id = worker.id] {
-    this->BeginNextLife(this->workers.at(id));
+    this->BeginNextIncarnation(this->workers.at(id));
   });
 }
 
-void SchedulerModel::BeginNextLife(Worker& worker) {
+void SchedulerModel::BeginNextIncarnation(Worker& worker) {
   Worker next;
   next.id = worker.id;
   next.box = worker.box;
@@ -135,11 +137,12 @@
     if (this->boxes.contains(box))
       this->AddWorker(box);
   });
-  this->ScheduleAfter(this->Between(3000, 4500), [this, life = worker.id] {
-    this->workers.at(life).announced = false;
-    for (Owner& owner : this->owners)
-      owner.scheduler->WorkerDeregistered(life, this->now);
-  });
+  this->ScheduleAfter(
+      this->Between(3000, 4500), [this, incarnation = worker.id] {
+        this->workers.at(incarnation).announced = false;
+        for (Owner& owner : this->owners)
+          owner.scheduler->WorkerDeregistered(incarnation, this->now);
+      });
 }
 
 void SchedulerModel::CountLosses(const Worker& worker) {
@@ -148,40 +151,40 @@
 }
 
 // A task that has crashed three workers may be started at most twice more.
-void SchedulerModel::CheckCrashLimit(const scheduler::StartRun& order) {
+void SchedulerModel::CheckCrashLimit(const scheduler::StartRun& command) {
   constexpr int kCrashes = 3;
   constexpr int kStartsBeyond = 3;
-  StoredJob& stored = this->jobs.at(order.task.job);
-  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
-  const auto crashes = stored.crashes.find(place);
+  StoredJob& stored = this->jobs.at(command.task.job);
+  const scheduler::TaskPosition position = scheduler::PositionOf(command.task);
+  const auto crashes = stored.crashes.find(position);
   if (crashes == stored.crashes.end() || crashes->second < kCrashes)
     return;
-  if (++stored.starts_since_third_crash[place] == kStartsBeyond) {
+  if (++stored.starts_since_third_crash[position] == kStartsBeyond) {
     this->ReportViolation(fmt::format(
         "{} step {} task {} run {}: started {} more times after it had crashed "
         "{} workers",
-        order.task.job, place.step, place.index, order.run, kStartsBeyond,
-        kCrashes));
+        command.task.job, position.step, position.index, command.run,
+        kStartsBeyond, kCrashes));
   }
 }
 
 void SchedulerModel::CheckStart(const Worker& worker,
-                                const scheduler::StartRun& order) {
-  const StoredJob& stored = this->jobs.at(order.task.job);
-  const scheduler::TaskPosition place = scheduler::PositionOf(order.task);
+                                const scheduler::StartRun& command) {
+  const StoredJob& stored = this->jobs.at(command.task.job);
+  const scheduler::TaskPosition position = scheduler::PositionOf(command.task);
   const std::string name =
-      fmt::format("{} step {} task {} run {}", order.task.job, place.step,
-                  place.index, order.run);
+      fmt::format("{} step {} task {} run {}", command.task.job, position.step,
+                  position.index, command.run);
   for (const auto& [id, other] : this->workers) {
-    if (other.alive && other.running.contains(order.task))
+    if (other.alive && other.running.contains(command.task))
       this->ReportViolation(
           fmt::format("{} starts while it is running on {}", name, id));
   }
-  if (stored.recorded_done.contains(place))
+  if (stored.recorded_done.contains(position))
     this->ReportViolation(name + " starts although its end is recorded");
-  const auto failed = stored.recorded_failures.find(place);
+  const auto failed = stored.recorded_failures.find(position);
   const jobs::Step& step =
-      stored.job.spec.steps[static_cast<std::size_t>(place.step)];
+      stored.job.spec.steps[static_cast<std::size_t>(position.step)];
   if (!step.lasting && failed != stored.recorded_failures.end() &&
       failed->second >= stored.job.attempts)
     this->ReportViolation(name + " starts after its last attempt failed");
@@ -263,18 +266,18 @@
   });
 }
 
-scheduler::WorkerReport SchedulerModel::ListingOf(const Worker& worker) const {
-  scheduler::WorkerReport listing;
-  listing.life = {.id = worker.id, .born_ms = worker.born_ms};
-  listing.clock_ms = base::Millis(this->ClockOf(worker));
+scheduler::WorkerReport SchedulerModel::ReportOf(const Worker& worker) const {
+  scheduler::WorkerReport report;
+  report.incarnation = {.id = worker.id, .born_ms = worker.born_ms};
+  report.clock_ms = base::Millis(this->ClockOf(worker));
   for (const auto& [task, run] : worker.running) {
     if (run.stopping)
       continue;
-    listing.running.push_back(
+    report.running.push_back(
         {.task = task, .run = run.number, .checkpoint = "", .percent = 100});
   }
-  listing.ended = worker.ends;
-  return listing;
+  report.ended = worker.ends;
+  return report;
 }
 
 }  // namespace quartzhoist::testing
