--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -42,7 +42,7 @@
     return bench.scheduler.FindWorker("w")->latest_lease_end - bench.now;
   };
   base::Micros sum{};
-  int looks = 0;
+  int polls = 0;
   for (int turn = 0; turn < 2000; ++turn) {
     bench.now += milliseconds(10);
     bench.Confirm();
@@ -57,12 +57,12 @@
     bench.Report("w", running,
                  asked.front().renews_lease ? grant : base::Micros{});
     sum += remaining_lease();
-    ++looks;
+    ++polls;
   }
-  BOOST_REQUIRE(looks > 20);
-  BOOST_TEST_MESSAGE("mean remaining lease: " << (sum / looks).count() / 1000
+  BOOST_REQUIRE(polls > 20);
+  BOOST_TEST_MESSAGE("mean remaining lease: " << (sum / polls).count() / 1000
                                               << " ms");
-  BOOST_CHECK(sum / looks < milliseconds(3400));
+  BOOST_CHECK(sum / polls < milliseconds(3400));
 }
 
 // The upper bound of a lease must not pass for a lease that the worker is known
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -73,10 +73,10 @@
     info.box = box;
     info.service = pool;
     this->bench.scheduler.UpdateWorker(info, this->bench.now);
-    this->List(info.incarnation.id);
+    this->Report(info.incarnation.id);
   }
 
-  void List(const std::string& worker) {
+  void Report(const std::string& worker) {
     const base::Micros before = this->bench.now;
     this->bench.Report(worker, {.running = this->running[worker]},
                        before + std::chrono::seconds(4));
@@ -130,8 +130,8 @@
             {.task = start.task, .run = start.run, .percent = 100});
         ++this->starts;
       }
-      for (const PollWorker& look : Only<PollWorker>(actions))
-        this->List(look.worker.id);
+      for (const PollWorker& poll : Only<PollWorker>(actions))
+        this->Report(poll.worker.id);
       for (const MoveBox& move : Only<MoveBox>(actions)) {
         this->bench.scheduler.MoveAnswered(move, BoxCallOutcome::kDone,
                                            this->bench.now);
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -30,21 +30,21 @@
 }
 
 void Scheduler::BufferRun(Worker& worker,
-                          const ReportedRun& listed,
+                          const ReportedRun& reported,
                           base::Micros now) {
-  Run run{.number = listed.run, .state = RunState::kRunning};
+  Run run{.number = reported.run, .state = RunState::kRunning};
   run.has_unknown_resources = true;
   run.decided_at = now;
   run.start_answered_at = now;
   run.adopted = true;
   run.is_confirmed = true;
-  run.percent = listed.percent;
-  AddRun(worker, listed.task, std::move(run));
+  run.percent = reported.percent;
+  AddRun(worker, reported.task, std::move(run));
   // A listed run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.max_grant);
-  this->UnknownJobFor(listed.task.job)
-      .runs.emplace_back(worker.info.incarnation, listed.task);
+  this->UnknownJobFor(reported.task.job)
+      .runs.emplace_back(worker.info.incarnation, reported.task);
 }
 
 // Applies the ends and runs that were held back until the job was known.
@@ -66,12 +66,12 @@
     const auto run = worker->second.runs.find(task);
     if (run == worker->second.runs.end())
       continue;
-    const ReportedRun listed{.task = task,
-                             .run = run->second.number,
-                             .checkpoint = "",
-                             .percent = run->second.percent};
+    const ReportedRun reported{.task = task,
+                               .run = run->second.number,
+                               .checkpoint = "",
+                               .percent = run->second.percent};
     RemoveRun(worker->second, task);
-    this->AdoptRun(worker->second, listed, now);
+    this->AdoptRun(worker->second, reported, now);
   }
 }
 
--- a/scheduler/worker_incarnations_test.cc
+++ b/scheduler/worker_incarnations_test.cc
@@ -132,8 +132,8 @@
                                bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(after, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  for (const PollWorker& look : Only<PollWorker>(bench.Turn()))
-    BOOST_TEST(look.acknowledged == 0);
+  for (const PollWorker& poll : Only<PollWorker>(bench.Turn()))
+    BOOST_TEST(poll.acknowledged == 0);
   bench.Report("w", {.incarnation = {.id = "w", .born_ms = kNextBorn},
                      .ended = {{.sequence = 1,
                                 .task = after.task,
--- a/scheduler/worker_reports.cc
+++ b/scheduler/worker_reports.cc
@@ -113,18 +113,18 @@
 }
 
 void Scheduler::ProcessReportedRun(Worker& worker,
-                                   const ReportedRun& listed,
+                                   const ReportedRun& reported,
                                    base::Micros now) {
-  const auto found = worker.runs.find(listed.task);
-  if (found == worker.runs.end() || found->second.number != listed.run) {
+  const auto found = worker.runs.find(reported.task);
+  if (found == worker.runs.end() || found->second.number != reported.run) {
     // An older run beside a newer one of the same task is only stopped.
     if (found != worker.runs.end()) {
       this->actions.emplace_back(StopRun{.worker = worker.info.incarnation,
-                                         .task = listed.task,
-                                         .run = listed.run});
+                                         .task = reported.task,
+                                         .run = reported.run});
       return;
     }
-    this->AdoptRun(worker, listed, now);
+    this->AdoptRun(worker, reported, now);
     return;
   }
   Run& run = found->second;
@@ -136,48 +136,48 @@
   run.missing_since = {};
   run.is_confirmed = true;
   run.possible_loss.reset();
-  if (run.percent != listed.percent ||
+  if (run.percent != reported.percent ||
       run.progress_changed_at == base::Micros::zero())
     run.progress_changed_at = now;
-  run.percent = listed.percent;
-  run.load = listed.load;
-  this->UpdateSuspicion(worker, listed.task, run);
-  Job* job = this->FindJob(listed.task.job);
-  if (!job || !HasTask(*job, PositionOf(listed.task)))
+  run.percent = reported.percent;
+  run.load = reported.load;
+  this->UpdateSuspicion(worker, reported.task, run);
+  Job* job = this->FindJob(reported.task.job);
+  if (!job || !HasTask(*job, PositionOf(reported.task)))
     return;
   job->has_started = true;
-  Task& task = TaskAt(*job, PositionOf(listed.task));
-  if (!listed.checkpoint.empty())
-    task.checkpoint = listed.checkpoint;
+  Task& task = TaskAt(*job, PositionOf(reported.task));
+  if (!reported.checkpoint.empty())
+    task.checkpoint = reported.checkpoint;
   // A run that is being stopped does not count as at work, even if an older
   // listing shows it at 100%.
-  task.is_serving = listed.percent >= 100 && run.state == RunState::kRunning;
+  task.is_serving = reported.percent >= 100 && run.state == RunState::kRunning;
   // The run may be an earlier owner's, of a job or task that is over by now.
   if (job->end_is_saved() || task.state == TaskState::kDone)
-    this->Stop(worker, listed.task, now);
+    this->Stop(worker, reported.task, now);
 }
 
 // Takes in a run that this owner does not expect: it was started by an earlier
 // owner, or by a start that got no answer and was carried out late.
 void Scheduler::AdoptRun(Worker& worker,
-                         const ReportedRun& listed,
+                         const ReportedRun& reported,
                          base::Micros now) {
-  Job* job = this->FindJob(listed.task.job);
-  Run run{.number = listed.run, .state = RunState::kRunning};
+  Job* job = this->FindJob(reported.task.job);
+  Run run{.number = reported.run, .state = RunState::kRunning};
   run.decided_at = now;
   run.start_answered_at = now;
   run.adopted = true;
   run.is_confirmed = true;
-  run.percent = listed.percent;
+  run.percent = reported.percent;
   run.progress_changed_at = now;
-  run.load = listed.load;
+  run.load = reported.load;
   if (!job) {
-    this->BufferRun(worker, listed, now);
+    this->BufferRun(worker, reported, now);
     return;
   }
-  const bool known = HasTask(*job, PositionOf(listed.task));
+  const bool known = HasTask(*job, PositionOf(reported.task));
   if (known) {
-    const jobs::Step& step = StepOf(*job, PositionOf(listed.task));
+    const jobs::Step& step = StepOf(*job, PositionOf(reported.task));
     run.reserved = step.each;
     run.quota_usage = step.each;
     run.organisation_usage = &this->quotas.UsageOf(job->organisation);
@@ -190,19 +190,19 @@
   }
   // Without a matching task of the job the resource usage is unknown.
   run.has_unknown_resources = !known;
-  AddRun(worker, listed.task, run);
+  AddRun(worker, reported.task, run);
   // A listed run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.max_grant);
   if (known) {
-    Task& task = TaskAt(*job, PositionOf(listed.task));
+    Task& task = TaskAt(*job, PositionOf(reported.task));
     // An actual run takes precedence over a placement that is only planned.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
-      const auto plan = other->second.runs.find(listed.task);
+      const auto plan = other->second.runs.find(reported.task);
       if (plan != other->second.runs.end() &&
           plan->second.state == RunState::kPlanned)
-        this->CancelPlan(*job, PositionOf(listed.task));
+        this->CancelPlan(*job, PositionOf(reported.task));
     }
     const bool wanted =
         !job->finished() &&
@@ -211,13 +211,13 @@
     if (wanted) {
       task.state = TaskState::kPlaced;
       task.worker = worker.info.incarnation;
-      task.run = listed.run;
-      task.latest_run = std::max(task.latest_run, listed.run);
-      task.is_serving = listed.percent >= 100;
-      if (!listed.checkpoint.empty())
-        task.checkpoint = listed.checkpoint;
+      task.run = reported.run;
+      task.latest_run = std::max(task.latest_run, reported.run);
+      task.is_serving = reported.percent >= 100;
+      if (!reported.checkpoint.empty())
+        task.checkpoint = reported.checkpoint;
       job->has_started = true;
-      job->progress.placed[KeyOf(PositionOf(listed.task))] = {
+      job->progress.placed[KeyOf(PositionOf(reported.task))] = {
           .worker = worker.info.incarnation, .run = task.run};
       this->MarkChanged(*job);
       return;
@@ -226,22 +226,22 @@
       return;
   }
   this->actions.emplace_back(LogNote{
-      listed.task.job,
+      reported.task.job,
       fmt::format("stopping run {} of task {}.{}.{} on {}: it is not needed",
-                  listed.run, listed.task.occurrence, listed.task.step,
-                  listed.task.index, worker.info.incarnation.id)});
-  this->Stop(worker, listed.task, now);
+                  reported.run, reported.task.occurrence, reported.task.step,
+                  reported.task.index, worker.info.incarnation.id)});
+  this->Stop(worker, reported.task, now);
 }
 
 void Scheduler::ResolveMissingRuns(Worker& worker,
                                    const WorkerReport& report,
                                    base::Micros now) {
-  std::set<jobs::TaskId> listed;
+  std::set<jobs::TaskId> reported;
   for (const ReportedRun& run : report.running)
-    listed.insert(run.task);
+    reported.insert(run.task);
   std::vector<std::pair<jobs::TaskId, Run>> missing;
   for (auto& [task, run] : worker.runs) {
-    if (listed.contains(task))
+    if (reported.contains(task))
       continue;
     // The listing may be older than the answer to the start or stop. An
     // inherited run cannot be started later, since the worker now refuses
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -84,7 +84,8 @@
                         owner.is_fenced ? " gone" : "");
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
-          "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
+          "  {} reported {} failed calls {} poll in flight {} lease to "
+          "{:.2f}\n",
           jobs::TextOf(id), worker.has_reported, worker.failed_calls,
           worker.poll_in_flight, base::Seconds(worker.latest_lease_end));
       for (const auto& [task, run] : worker.runs) {
@@ -400,8 +401,8 @@
     this->SendStart(owner, *start);
   else if (const auto* stop = std::get_if<scheduler::StopRun>(&action))
     this->SendStop(owner, *stop);
-  else if (const auto* look = std::get_if<scheduler::PollWorker>(&action))
-    this->SendPoll(owner, *look);
+  else if (const auto* poll = std::get_if<scheduler::PollWorker>(&action))
+    this->SendPoll(owner, *poll);
   else if (const auto* save = std::get_if<scheduler::SaveProgress>(&action))
     this->Save(owner, *save);
   else if (const auto* read = std::get_if<scheduler::LoadJob>(&action))
