--- a/scheduler/box_planning.cc
+++ b/scheduler/box_planning.cc
@@ -12,23 +12,21 @@
 
 using std::chrono::milliseconds;
 
-// Interval between planning rounds. 100 ms made no measurable difference in 20
-// test days with faults (49 workers).
+// Interval between planning rounds; 100 ms made no measurable difference.
 constexpr base::Micros kPlanInterval = milliseconds(250);
 
-// Maximum age of a listing that shows a long-running task at work. Above the
-// long-poll wait of a listing call (2 s), below the time after which the sites
-// count a silent task as away (4.5 s).
+// Maximum age of a report that shows a long-running task at work. Above the
+// longest wait of a poll (2 s), below the time after which the sites count a
+// silent task as away (4.5 s).
 constexpr base::Micros kMaxReportAge = milliseconds(3000);
 
-// Weight of the arrival trend in a pool's expected demand. With 4, 80.4% of the
-// work, weighted by value, was on time over ten test days with faults, and
-// 78.8% with 2 (49 workers); over six such days 85.0% and 84.4% (350 workers).
+// Weight of the arrival trend in a pool's expected demand. With 2 instead
+// of 4, less of the work by value was on time (78.8% instead of 80.4%).
 constexpr double kTrendWeight = 4.0;
 
-// A task that has waited this long for room is taken to fit on none of its
+// A task that has waited this long for capacity is taken to fit on none of its
 // pool's boxes, for lack of memory or because of limits on tasks per box.
-// Longer than a scheduling turn plus a planning round (0.3 s); short enough for
+// Longer than a scheduling pass plus a planning round (0.3 s); short enough for
 // long-running tasks to run again within the required 6 s.
 constexpr base::Micros kStuckAfter = milliseconds(1000);
 // Above this utilization a pool is short of cores and gets boxes on that
@@ -235,7 +233,7 @@
   return away < step.may_be_away;
 }
 
-// Requires a recent listing, since the worker may have died after an older one.
+// Requires a recent report, since the worker may have died after an older one.
 bool Scheduler::IsKnownToServe(const Task& task, base::Micros now) const {
   const auto worker = this->workers.find(task.worker);
   return task.is_serving && worker != this->workers.end() &&
@@ -243,7 +241,7 @@
          now - worker->second.last_answer_at < kMaxReportAge;
 }
 
-// A task is only interrupted if another worker has room for it.
+// A task is only interrupted if another worker has capacity for it.
 bool Scheduler::CanRunElsewhere(const jobs::TaskId& id, base::Micros now) {
   const Job* job = this->FindJob(id.job);
   if (!job || !HasTask(*job, PositionOf(id)))
@@ -276,7 +274,7 @@
       if (!movable || !this->MayInterrupt(task, now) ||
           !this->CanRunElsewhere(task, now))
         continue;
-      // Counts as away at once, before the worker lists its end.
+      // Counts as away at once, before the worker reports its end.
       Job* job = this->FindJob(task.job);
       if (job && HasTask(*job, PositionOf(task)))
         TaskAt(*job, PositionOf(task)).is_serving = false;
--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -21,7 +21,7 @@
 }
 
 // Guards against overcommitting a worker: its capacity shrank while a placement
-// was being saved, and the start order was sent anyway.
+// was being saved, and the start command was sent anyway.
 BOOST_AUTO_TEST_CASE(PlanThatDoesNotFitAnyMoreIsNotStarted) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -29,8 +29,8 @@
 }
 
 // Lower bound on how long the run has been on the worker, from the worker's
-// listings. Uses the time at which the listing was requested, since an owner
-// that was paused may read an old listing late.
+// reports. Uses the time at which the report was requested, since an owner that
+// was paused may read an old report late.
 base::Micros ConfirmedRunTime(const Run& run, const Worker& worker) {
   if (run.start_answered_at == base::Micros::zero())
     return {};
@@ -77,8 +77,8 @@
                            worker.info.draining;
   if (was_planned)
     return losses;
-  // A worker that withdrew its announcement left on purpose; another life at
-  // its address afterwards doesn't indicate a crash.
+  // A worker that withdrew its announcement left on purpose; another
+  // incarnation at its address afterwards doesn't indicate a crash.
   const bool has_crashed = (reason == LossReason::kOtherIncarnation ||
                             reason == LossReason::kRestarted) &&
                            !worker.has_withdrawn();
@@ -86,7 +86,7 @@
   for (const auto& [id, run] : runs) {
     const Job* job = this->FindJob(id.job);
     const base::Micros ran = ConfirmedRunTime(run, worker);
-    // A lasting task that outlived the startup window is not a suspect.
+    // A long-running task that outlived the startup window is not a suspect.
     const bool may_be_cause =
         run.state != RunState::kPlanned &&
         !(run.is_long_running && ran >= kStartupCrashWindow);
@@ -178,7 +178,8 @@
 }
 
 // Called when a worker answers. It has not crashed, so its unresolved losses
-// are dropped; those of other lives on the same box are confirmed as crashes.
+// are dropped; those of other incarnations on the same box are confirmed as
+// crashes.
 void Scheduler::ResolveLosses(const Worker& worker, base::Micros now) {
   const jobs::WorkerLife& incarnation = worker.info.incarnation;
   for (const std::string& id : this->open_losses.Remove(incarnation)) {
@@ -257,10 +258,10 @@
   return worst;
 }
 
-// Fails a job with a task that crashes its workers. In a job with a lasting
-// step only the task itself is given up: stopping all lasting tasks at once
-// would exceed the number that may be away. If that task is placed or running,
-// it is given up once its run has ended.
+// Fails a job with a task that crashes its workers. In a job with a
+// long-running step only the task itself is given up: stopping all long-running
+// tasks at once would exceed the number that may be away. If that task is
+// placed or running, it is given up once its run has ended.
 void Scheduler::GiveUpCrashingTasks(Job& job, base::Micros now) {
   if (job.finished())
     return;
@@ -286,9 +287,9 @@
   }
 }
 
-// Called when the worker lists the run as running. A run that has been running
-// for long enough has not crashed its worker: its suspicion is cleared, and so
-// are the recorded losses of a lasting task.
+// Called when the worker reports the run as running. A run that has been
+// running for long enough has not crashed its worker: its suspicion is cleared,
+// and so are the recorded losses of a long-running task.
 void Scheduler::UpdateSuspicion(Worker& worker,
                                 const jobs::TaskId& id,
                                 Run& run) {
--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -71,8 +71,9 @@
   BOOST_TEST(model.crashed_workers() <= 3);
 }
 
-// Only one task of the lasting job may be away at a time. The task that crashes
-// its workers is given up, and the other tasks must not be stopped for it.
+// Only one task of the long-running job may be away at a time. The task that
+// crashes its workers is given up, and the other tasks must not be stopped for
+// it.
 BOOST_AUTO_TEST_CASE(LastingTasksBesideACrashingOneServeOn) {
   ModelJob long_running = MakeJob("lasting", 4);
   long_running.spec.steps[0].lasting = true;
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -1,6 +1,6 @@
-// Plans box moves between pools and maintenance waves (box upkeep). Both are
-// planned together so that they never compete for the same box. The planner is
-// pure state: it takes views of the fleet and returns actions.
+// Plans box moves between pools and maintenance waves. Both are planned
+// together so that they never compete for the same box. The planner is pure
+// state: it takes views of the fleet and returns actions.
 
 #ifndef SCHEDULER_FLEET_H_
 #define SCHEDULER_FLEET_H_
@@ -24,7 +24,7 @@
   base::Micros maintenance_duration{};  // from the call until the box is back
 };
 
-// Result of a platform call that moves a box or starts its upkeep.
+// Result of a platform call that moves a box or starts its maintenance.
 enum class BoxCallOutcome {
   kDone,
   kNotSent,    // not carried out, and will not be
@@ -77,7 +77,7 @@
   std::string pool;
   int boxes = 0;    // that have a worker
   int usable = 0;   // of them, those that accept further tasks
-  int leaving = 0;  // moving, selected to move, or in upkeep
+  int leaving = 0;  // moving, selected to move, or in maintenance
   int idle = 0;
   int pinned = 0;  // hold long-running tasks
   double busy_cores = 0.0;
@@ -120,7 +120,7 @@
  public:
   explicit FleetPlanner(const FleetTimings& limits);
 
-  // `begun`: boxes whose upkeep a previous owner recorded as started.
+  // `begun`: boxes whose maintenance a previous owner recorded as started.
   void SetWave(const Wave& wave,
                const std::vector<std::string>& begun,
                base::Micros now);
@@ -152,7 +152,7 @@
   bool HasPendingCall(const std::string& box) const;
   // True while nothing more may be placed on the box.
   bool IsLeaving(const std::string& box) const;
-  // The worker instance on the box when its move or upkeep was requested.
+  // The worker instance on the box when its move or maintenance was requested.
   jobs::WorkerLife WorkerBeforeCall(const std::string& box) const;
   bool HasOpenWave() const;
   // True while moves or waves are open, or no list has been read yet.
@@ -222,7 +222,7 @@
                                InheritedCall inherited);
   ReportWave MakeReport(const WaveProgress& progress) const;
   void ReconcileWaves(base::Micros asked, base::Micros now);
-  // Whether the box is, or recently was, in upkeep for another wave.
+  // Whether the box is, or recently was, in maintenance for another wave.
   bool IsInMaintenanceForOtherWave(int wave,
                                    const std::string& box,
                                    base::Micros asked) const;
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -153,7 +153,7 @@
   fleet.SetWave(wave, {}, seconds(1));
   // Faults are drawn per call, so that each of them ends eventually.
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-  std::map<std::string, base::Micros> down;  // end of the upkeep
+  std::map<std::string, base::Micros> down;  // end of the maintenance
   std::map<std::string, int> begun;
   bool completed = false;
   base::Micros now = seconds(1);
@@ -218,7 +218,7 @@
 }
 
 // An owner that was paused may read a box list long after it was written. A
-// list requested before an upkeep shows the box as up, but must not count as
+// list requested before maintenance shows the box as up, but must not count as
 // evidence that the box is back; otherwise the wave exceeds its limit.
 BOOST_AUTO_TEST_CASE(ListFromBeforeAnUpkeepDoesNotBringTheBoxBack) {
   FleetPlanner fleet(kLimits);
@@ -243,13 +243,13 @@
   now += seconds(3);
   fleet.SetBoxes(listed, asked, now);
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).empty());
-  // A list requested after the upkeep does count.
+  // A list requested after the maintenance does count.
   fleet.SetBoxes(listed, now, now);
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).size() == 1U);
 }
 
-// A previous owner's upkeep call may still be in flight. The box counts as away
-// from the start, and once its worker has answered and is idle the call is
+// A previous owner's maintenance call may still be in flight. The box counts as
+// away from the start, and once its worker has answered and is idle the call is
 // repeated, so that the box refuses the earlier one by its lower epoch.
 BOOST_AUTO_TEST_CASE(InheritedUpkeepCountsUntilItIsMadeAnew) {
   FleetPlanner fleet(kLimits);
@@ -312,7 +312,8 @@
 }
 
 // A crashed worker that restarts while its box goes down announces a new
-// instance. Taken as the end of the upkeep, this let the wave exceed its limit.
+// instance. Taken as the end of the maintenance, this let the wave exceed its
+// limit.
 BOOST_AUTO_TEST_CASE(LifeThatStartsWhileItsBoxIsTakenIsNotBackFromTheUpkeep) {
   FleetPlanner fleet({.move_duration = milliseconds(1500),
                       .maintenance_duration = seconds(2)});
@@ -415,7 +416,7 @@
   FleetView view;
   view.boxes = {IdleBox("b2", "pool")};
   view.pools = {{.name = "pool", .spare = false, .demand = {}}};
-  // No upkeep starts before the list has been read.
+  // No maintenance starts before the list has been read.
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(2))).empty());
   fleet.SetBoxes(
       {{.name = "b1", .pool = "pool", .state = BoxState::kMaintenance},
@@ -428,8 +429,8 @@
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(6))).size() == 1U);
 }
 
-// When two waves cover one box, its upkeep for one wave must not count for the
-// other, neither while the list shows it nor shortly after.
+// When two waves cover one box, its maintenance for one wave must not count for
+// the other, neither while the list shows it nor shortly after.
 BOOST_AUTO_TEST_CASE(UpkeepForOneWaveIsNoneForAnother) {
   FleetPlanner fleet(kLimits);
   const auto wave = [](int number) {
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -1,5 +1,5 @@
-// Maintenance waves: selects the boxes that go into upkeep next and tracks the
-// progress of each wave.
+// Maintenance waves: selects the boxes that go into maintenance next and tracks
+// the progress of each wave.
 
 #include <algorithm>
 
@@ -11,8 +11,8 @@
 
 // One in this many of a wave's slots is reserved from the start for boxes with
 // long-running tasks, which are evacuated a few tasks at a time and take the
-// longest. Over five test days of large fleets this reduced the boxes left
-// at their waves' deadlines from 20 to 9.
+// longest. In large fleets this reduced the boxes left at their waves'
+// deadlines from 20 to 9.
 constexpr int kPinnedDivisor = 8;
 
 // Assumed bound on how far a box list may lag behind the time of its request.
@@ -41,10 +41,10 @@
   }
 }
 
-// A box goes down as soon as its upkeep call is accepted, so a worker that
-// answers long after a previous owner recorded the start is back from upkeep.
-// Without this, each takeover left half of the fleet unused until the box
-// service had listed it.
+// A box goes down as soon as its maintenance call is accepted, so a worker that
+// answers long after a previous owner recorded the start is back from
+// maintenance. Without this, each takeover left half of the fleet unused until
+// the box service had listed it.
 void FleetPlanner::OnBoxAnswered(const std::string& box) {
   for (auto& [number, progress] : this->waves) {
     const auto found = progress.boxes.find(box);
@@ -57,16 +57,17 @@
   }
 }
 
-// Applies the box list to the waves: boxes that are back or removed, and upkeep
-// that a previous owner started but did not record.
+// Applies the box list to the waves: boxes that are back or removed, and
+// maintenance that a previous owner started but did not record.
 void FleetPlanner::ReconcileWaves(base::Micros asked, base::Micros now) {
   for (auto& [number, progress] : this->waves) {
     for (auto& [name, maintenance] : progress.boxes) {
       const auto found = this->listed.find(name);
-      // A removed box needs no upkeep.
+      // A removed box needs no maintenance.
       const bool is_removed = found == this->listed.end();
-      // An owner that was paused may read a list requested before the upkeep
-      // call. Only a list requested after the upkeep can show the box back.
+      // An owner that was paused may read a list requested before the
+      // maintenance call. Only a list requested after the maintenance can show
+      // the box back.
       const bool back =
           !is_removed && found->second.state == BoxState::kUp &&
           maintenance.state == MaintenanceState::kDown &&
@@ -91,9 +92,9 @@
   }
 }
 
-// The box list does not name the wave of an upkeep, and waves may overlap. Were
-// the upkeep counted for both, one wave would be reported as completed without
-// its own upkeep of the box.
+// The box list does not name the wave of a maintenance, and waves may overlap.
+// Were it counted for both, one wave would be reported as
+// completed without its own maintenance of the box.
 bool FleetPlanner::IsInMaintenanceForOtherWave(int wave,
                                                const std::string& box,
                                                base::Micros asked) const {
@@ -177,13 +178,13 @@
     progress.needs_report = false;
     actions.emplace_back(this->MakeReport(progress));
   }
-  // A previous owner may have started upkeep without recording it; the box list
-  // shows which boxes are down.
+  // A previous owner may have started maintenance without recording it; the box
+  // list shows which boxes are down.
   if (!this->has_list)
     return;
   // 2. Select further boxes, up to the wave's limit.
   SelectNext(progress.wave, counts, now);
-  // 3. Request upkeep for the idle ones and evacuate the others.
+  // 3. Request maintenance for the idle ones and evacuate the others.
   RequestOrEvacuate(progress, boxes, now, actions);
 }
 
--- a/scheduler/inheritance.cc
+++ b/scheduler/inheritance.cc
@@ -8,8 +8,8 @@
 
 namespace quartzhoist::scheduler {
 
-// A placement of an earlier owner is kept until its worker has been listed or
-// the worker's lease has expired.
+// A placement of an earlier owner is kept until its worker has reported or the
+// worker's lease has expired.
 void Scheduler::InheritRuns(Job& job, base::Micros now) {
   std::vector<std::pair<TaskPosition, jobs::Placement>> lost;
   for (const auto& [key, placement] : job.progress.placed) {
@@ -56,7 +56,7 @@
 }
 
 // A run that an earlier owner was stopping uses resources until it ends,
-// although listings do not show it. Ignoring it led to a start beyond the
+// although reports do not show it. Ignoring it led to a start beyond the
 // worker's capacity.
 void Scheduler::InheritStops(Job& job, base::Micros now) {
   const auto stopping = job.progress.stopping;
--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -20,7 +20,7 @@
 
 // Guards against a task that runs twice because a replaced owner stops it. The
 // owner failed the job and stopped its other task just before the write of that
-// failure was refused. The next owner had just listed the worker, whose listing
+// failure was refused. The next owner had just polled the worker, whose report
 // omits runs that are being stopped, took the task for unplaced and started it
 // on the same worker 0.2 s later, beside the first run. So stops wait until the
 // failure is saved.
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -22,8 +22,8 @@
   return step;
 }
 
-// Makes the step small enough for all lasting tasks and any other task to fit
-// on two workers.
+// Makes the step small enough for all long-running tasks and any other task to
+// fit on two workers.
 void MakeLongRunning(jobs::Step& step) {
   step.lasting = true;
   step.each = {.cpu_millis = 50, .memory_mb = 100, .gpus = 0};
@@ -129,7 +129,7 @@
     ModelFaults faults;
     faults.store_outage = 0.5;
     // A new owner reaches some workers late, while the earlier owner still
-    // sends them orders.
+    // sends them commands.
     faults.partition = 2.0;
     SchedulerModel model(seed, faults, 5, jobs);
     for (int i = 0; i < 5; ++i) {
@@ -224,9 +224,9 @@
 
 // Owners are paused between a decision and its call, replaced, and resumed.
 // Calls are lost, delayed and repeated, and a box accepts an earlier owner's
-// calls until the next owner has called it. During an upkeep wave, and while
-// another pool takes boxes, no more boxes and tasks are away than the wave and
-// the lasting job allow.
+// calls until the next owner has called it. During a maintenance wave, and
+// while another pool takes boxes, no more boxes and tasks are away than the
+// wave and the long-running job allow.
 BOOST_AUTO_TEST_CASE(OwnersThatStandStillTakeNoMoreThanMayBeAway) {
   const bool holds = rc::check("no more is away than allowed", [] {
     ModelJob long_running;
@@ -271,8 +271,8 @@
 }
 
 // Worker capacity drops up to twice a second and recovers, while owners change
-// and orders are under way. Orders that a worker carries out seconds late are
-// excluded, because the platform's pages set no time bound for them.
+// and commands are under way. Commands that a worker carries out seconds late
+// are excluded, because the platform's pages set no time bound for them.
 BOOST_AUTO_TEST_CASE(RoomThatShrinksIsNotPassed) {
   const bool holds = rc::check("no start exceeds a reduced capacity", [] {
     std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 8));
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -13,16 +13,16 @@
 namespace {
 
 // After this many steps that cannot be placed the rest of the pool's queue
-// waits for the next turn. This bounds a turn's duration under overload.
+// waits for the next pass. This bounds a pass's duration under overload.
 constexpr int kMaxMissesPerPass = 24;
 
-// Upper bound on the time a start order waits to be sent. Until then the run
+// Upper bound on the time a start command waits to be sent. Until then the run
 // counts as covered by a lease.
 constexpr base::Micros kMaxCommandQueueTime = std::chrono::seconds(1);
 
 // Weights of a worker's cost for a task; the worker with the lowest sum is
 // chosen. A task that failed on a worker goes elsewhere if any other worker has
-// room.
+// capacity.
 constexpr double kFailedHereCost = 100.0;
 // The task's data is on another rack, so the run takes longer.
 constexpr double kOtherRackCost = 4.0;
@@ -227,7 +227,7 @@
 }
 
 // After one task of a step fits no worker, the step's other tasks are skipped
-// for this turn: they have the same requirements.
+// for this pass: they have the same requirements.
 ReadyTasks::AttemptResult Scheduler::TryPlace(const ReadyTask& task,
                                               PlacementPass& pass,
                                               base::Micros now) {
@@ -481,7 +481,7 @@
     }
     run->second.state = RunState::kStarting;
     run->second.decided_at = now;
-    // The start order grants a lease when it is sent.
+    // The start command grants a lease when it is sent.
     worker.latest_lease_end =
         std::max(worker.latest_lease_end, now + kMaxCommandQueueTime);
     worker.next_poll_at = std::min(worker.next_poll_at, now);
--- a/scheduler/polls.cc
+++ b/scheduler/polls.cc
@@ -1,4 +1,4 @@
-// Polling of workers for their listings: when a poll is sent, how long the
+// Polling of workers for their reports: when a poll is sent, how long the
 // worker may hold it open, and whether it renews the worker's lease.
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr base::Micros kMinRemainingLease = milliseconds(2500);
 // A poll whose wait would be shorter than this renews the lease instead.
 constexpr base::Micros kMinPollWait = milliseconds(300);
-// Wait while the outcome of a start or stop is open: the listing itself, rather
+// Wait while the outcome of a start or stop is open: the report itself, rather
 // than an end, settles it.
 constexpr base::Micros kUnsettledPollWait = milliseconds(300);
 // Wait at workers with both serving and filling runs, where tail latencies
@@ -105,8 +105,8 @@
     return;
   for (auto& [id, worker] : this->workers) {
     this->AdvanceRecordedEnds(worker);
-    // An unresponsive worker is polled until it answers or its life is over,
-    // because nothing is placed on it before.
+    // An unresponsive worker is polled until it answers or its incarnation is
+    // over, because nothing is placed on it before.
     const bool needs_poll =
         !worker.has_reported || !worker.idle() || worker.failed_calls > 0 ||
         worker.last_recorded_end < worker.last_processed_end ||
--- a/scheduler/quotas.h
+++ b/scheduler/quotas.h
@@ -32,7 +32,7 @@
 
   // Whether runs that take `needed` may start. Refused amounts count as wanted.
   bool Allows(const std::string& organisation, const jobs::Resources& needed);
-  // Call before each scheduling turn, which attempts all waiting tasks again.
+  // Call before each scheduling pass, which attempts all waiting tasks again.
   void ResetRefused();
 
   // The counter of what the organisation's runs take. The reference stays
@@ -46,7 +46,7 @@
   struct Account {
     jobs::Resources quota;  // 0: no limit
     jobs::Resources used;
-    jobs::Resources refused;  // in this scheduling turn
+    jobs::Resources refused;  // in this scheduling pass
     int share = 0;
   };
 
--- a/scheduler/ready_tasks.cc
+++ b/scheduler/ready_tasks.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // A class counts as overloaded for this long after one of its tasks has missed
-// its deadline (kStarted is exempt): longer than a scheduling turn, shorter
+// its deadline (kStarted is exempt): longer than a scheduling pass, shorter
 // than a demand peak (some seconds on the sites).
 constexpr base::Micros kOverloadDuration = std::chrono::seconds(1);
 
--- a/scheduler/suspects.cc
+++ b/scheduler/suspects.cc
@@ -16,13 +16,13 @@
 // The guarantee allows two more starts after three crashes, whatever their
 // outcome: a run that is stopped before it can crash its worker counts too.
 constexpr std::size_t kMaxLastTries = 2;
-// A crashed worker usually comes back as another life within a few seconds. A
-// task with three losses waits this long for it to be known whether its worker
-// crashed.
+// A crashed worker usually comes back as another incarnation within a few
+// seconds. A task with three losses waits this long for it to be known whether
+// its worker crashed.
 constexpr base::Micros kCrashDetectionTime = std::chrono::seconds(3);
 
-// Delay before a last try of a lasting task: unrelated crashes tend to occur
-// close together.
+// Delay before a last try of a long-running task: unrelated crashes tend to
+// occur close together.
 constexpr base::Micros kLastTryPause = std::chrono::seconds(4);
 
 }  // namespace
--- a/scheduler/suspects.h
+++ b/scheduler/suspects.h
@@ -21,13 +21,13 @@
   kLow,       // one worker was lost; any task that ran there may be the cause
   kProbe,     // start alone, so that a crash affects no other task
   kDeferred,  // don't start yet: it may become known whether the workers
-              // crashed, or a last try of a lasting task is delayed
+              // crashed, or a last try of a long-running task is delayed
   kGiveUp,    // don't start any more
 };
 
 // `last_tries`: the runs placed after three workers had been lost.
 // `since_last_loss`: time since the newest loss was recorded.
-// A lasting task is given up only after its last tries were lost as well,
+// A long-running task is given up only after its last tries were lost as well,
 // because it is then missing for good from a job that keeps running.
 Suspicion AssessSuspicion(const jobs::WorkerLosses& losses,
                           const jobs::RunNumbers& last_tries,
@@ -44,17 +44,18 @@
 // How long a task that must start alone waits for an idle worker.
 inline constexpr base::Micros kIdleWorkerWait = std::chrono::seconds(1);
 
-// Worker lives that became unresponsive while tasks ran on them, and the jobs
-// of these tasks. A life that answers again has not crashed; if another life
-// answers on its box, it has.
+// Worker incarnations that became unresponsive while tasks ran on them, and the
+// jobs of these tasks. An incarnation that answers again has not crashed; if
+// another incarnation answers on its box, it has.
 class UnresolvedLosses {
  public:
   void Add(const jobs::WorkerLife& incarnation,
            const std::string& box,
            const std::string& job);
-  // Removes the entry of this life and returns the jobs in it.
+  // Removes the entry of this incarnation and returns the jobs in it.
   std::set<std::string> Remove(const jobs::WorkerLife& incarnation);
-  // Returns the lives in this collection on the box, except `incarnation`.
+  // Returns the incarnations in this collection on the box, except
+  // `incarnation`.
   std::vector<jobs::WorkerLife> OtherIncarnationsOn(
       const std::string& box,
       const jobs::WorkerLife& incarnation) const;
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -81,8 +81,8 @@
   BOOST_CHECK(AssessSuspicion(one_box, {}, seconds(9)) == Suspicion::kProbe);
 }
 
-// A worker that answers again has not crashed. If another life answers on its
-// box, it has.
+// A worker that answers again has not crashed. If another incarnation answers
+// on its box, it has.
 BOOST_AUTO_TEST_CASE(UnresolvedLossIsSettledByTheNextAnswer) {
   for (const bool answers : {true, false}) {
     Bench bench(1);
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -4,9 +4,9 @@
 // A worker may therefore list a job that was accepted and placed meanwhile
 // before the owner has read it. If its end were acknowledged then, the worker
 // would discard it: the job, once read, would have a placement for which the
-// worker lists neither a run nor an end, and would be started a second time. So
-// ends of an unknown job are not acknowledged, and its runs not stopped, until
-// the job has been read.
+// worker reports neither a run nor an end, and would be started a second time.
+// So ends of an unknown job are not acknowledged, and its runs not stopped,
+// until the job has been read.
 
 #include <algorithm>
 #include <utility>
@@ -40,7 +40,7 @@
   run.is_confirmed = true;
   run.percent = reported.percent;
   AddRun(worker, reported.task, std::move(run));
-  // A listed run implies a lease, whoever granted it.
+  // A reported run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.max_grant);
   this->UnknownJobFor(reported.task.job)
--- a/scheduler/worker.h
+++ b/scheduler/worker.h
@@ -19,15 +19,15 @@
 
 enum class RunState {
   kPlanned,    // the placement is being recorded; no start has been sent
-  kInherited,  // placed by an earlier owner; awaiting the worker's listing
+  kInherited,  // placed by an earlier owner; awaiting the worker's report
   kStarting,   // the start request is in flight
-  kRunning,    // the start was acknowledged or the run was listed
+  kRunning,    // the start was acknowledged or the run was reported
   kUnsettled,  // the start got no answer and may still be carried out
-  kStopping,   // being stopped; its resources are freed once its end is listed
+  kStopping,  // being stopped; its resources are freed once its end is reported
 };
 
-// The loss of a worker life that may have had the run. It counts only if the
-// next life turns out not to have started the run.
+// The loss of a worker incarnation that may have had the run. It counts only if
+// the next incarnation turns out not to have started the run.
 struct PossibleLoss {
   jobs::WorkerLife incarnation;
   jobs::WorkerLoss loss;
@@ -48,17 +48,18 @@
   base::Micros stop_answered_at{};    // when a stop was acknowledged; 0: never
   base::Micros stop_sent_at{};        // when a stop was last sent
   // Send time of the first poll since which neither the run nor its end has
-  // been listed; 0 if it is not missing.
+  // been reported; 0 if it is not missing.
   base::Micros missing_since{};
   bool is_long_running = false;
   bool fills = false;
   bool adopted = false;  // not started by this owner, or a late start
   // The job or its task is not known, so neither is the resource usage.
   bool has_unknown_resources = false;
-  // The current life of the worker is known to have the run. Until then the
-  // start may have reached a later life instead.
+  // The current incarnation of the worker is known to have the run. Until then
+  // the start may have reached a later incarnation instead.
   bool is_confirmed = false;
-  // Loss of the previous life, recorded if the current one never had the run.
+  // Loss of the previous incarnation, recorded if the current one never had the
+  // run.
   std::optional<PossibleLoss> possible_loss;
   // Suspicion of crashing the worker; cleared once the run has survived for
   // some time.
@@ -91,13 +92,14 @@
   // The stored list of lease holders names this worker for this owner.
   bool is_lease_recorded = false;
   bool is_announced = true;  // its announcement is in the store
-  // False while capacity and labels are copied from the previous life because
-  // this life's announcement has not been read.
+  // False while capacity and labels are copied from the previous incarnation
+  // because this incarnation's announcement has not been read.
   bool is_described = true;
-  // It may hold a lease whose deadline was set on the previous life's clock.
+  // It may hold a lease whose deadline was set on the previous incarnation's
+  // clock.
   bool may_hold_earlier_lease = false;
-  // A start was answered with a clock reading that this life cannot have, so a
-  // later life may be running.
+  // A start was answered with a clock reading that this incarnation cannot
+  // have, so a later incarnation may be running.
   bool may_have_restarted = false;
   base::Micros withdrawn_at{};  // when its announcement was removed
   bool poll_in_flight = false;
@@ -119,9 +121,9 @@
   // The worker's clock, and when its reading arrived on this process's clock.
   std::int64_t clock_ms = 0;
   base::Micros clock_read_at{};
-  // Ends are numbered per life and handled in order: first processed, then
-  // recorded in the store, then acknowledged to the worker. Each of these is
-  // the highest number that has passed the stage.
+  // Ends are numbered per incarnation and handled in order: first processed,
+  // then recorded in the store, then acknowledged to the worker. Each of these
+  // is the highest number that has passed the stage.
   std::int64_t last_processed_end = 0;
   std::int64_t last_recorded_end = 0;
   std::int64_t last_acknowledged_end = 0;
@@ -129,7 +131,7 @@
   std::deque<UnansweredStart> recent_unanswered_starts;  // oldest first
   std::map<jobs::TaskId, Run> runs;
   jobs::Resources used;
-  int long_running_tasks = 0;  // runs of lasting tasks, which pin the box
+  int long_running_tasks = 0;  // runs of long-running tasks, which pin the box
   int unknown_runs = 0;        // runs with unknown resources
   int suspect_runs = 0;        // runs suspected of crashing the worker
   int probe_runs = 0;          // suspects beside which nothing else is placed
@@ -162,14 +164,14 @@
 // Removes all runs from the worker and returns them.
 std::map<jobs::TaskId, Run> ExtractRuns(Worker& worker);
 
-// Whether ends may be acknowledged to the worker. Ends are numbered per life,
-// so a later life that receives the acknowledgement would discard its own ends
-// before they are read.
+// Whether ends may be acknowledged to the worker. Ends are numbered per
+// incarnation, so a later incarnation that receives the acknowledgement would
+// discard its own ends before they are read.
 bool CanAcknowledgeEnds(const Worker& worker);
 
 // Whether a clock reading in the answer to a start decided at `decided_at` can
-// come from the life that was listed. A worker's clock never goes back and
-// starts anew in each life.
+// come from the incarnation that last reported. A worker's clock never goes
+// back and starts anew in each incarnation.
 bool IsClockConsistent(const Worker& worker,
                        std::int64_t clock_ms,
                        base::Micros decided_at);
--- a/scheduler/worker_incarnations.cc
+++ b/scheduler/worker_incarnations.cc
@@ -1,9 +1,11 @@
-// Lives of workers: which life of a worker id is the current one, and what
-// happens to the runs of a life when the worker restarts under the same id.
+// Incarnations of workers: which incarnation of a worker id is the current one,
+// and what happens to the runs of an incarnation when the worker restarts under
+// the same id.
 //
-// A start sent to one life may have been carried out by the next, which answers
-// under the same id. So runs that a life has not confirmed move to the next
-// life, whose listing settles them. All other runs ended with their life.
+// A start sent to one incarnation may have been carried out by the next, which
+// answers under the same id. So runs that an incarnation has not confirmed move
+// to the next incarnation, whose report settles them. All other runs ended with
+// their incarnation.
 
 #include <algorithm>
 #include <utility>
@@ -50,12 +52,12 @@
          incarnation.born_ms <= ended->second;
 }
 
-// --- New lives ---
+// --- New incarnations ---
 
 void Scheduler::UpdateWorker(const WorkerInfo& announced, base::Micros now) {
   WorkerInfo info = announced;
   Worker* known = this->CurrentIncarnation(info.incarnation.id);
-  // An announcement without a start time belongs to the known life.
+  // An announcement without a start time belongs to the known incarnation.
   if (known && info.incarnation.born_ms == 0)
     info.incarnation = known->info.incarnation;
   const bool is_earlier =
@@ -90,8 +92,8 @@
   ++this->worker_change_count;
 }
 
-// The life that the answer is from; null if it is from an earlier life, or the
-// asked life is not known.
+// The incarnation that the answer is from; null if it is from an earlier
+// incarnation, or the asked incarnation is not known.
 Worker* Scheduler::FindResponder(const jobs::WorkerLife& asked,
                                  const jobs::WorkerLife& answered,
                                  base::Micros now) {
@@ -110,7 +112,8 @@
   return &next;
 }
 
-// Replaces `earlier` by the life in `info`; `earlier` is invalid afterwards.
+// Replaces `earlier` by the incarnation in `info`; `earlier` is invalid
+// afterwards.
 Worker& Scheduler::ReplaceRestarted(Worker& earlier,
                                     const WorkerInfo& info,
                                     base::Micros now) {
@@ -118,7 +121,7 @@
   std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses =
       this->CollectLosses(earlier, runs, LossReason::kRestarted);
-  // 1. Create the next life.
+  // 1. Create the next incarnation.
   Worker& next = this->workers[info.incarnation];
   next.info = info;
   next.is_announced = earlier.is_announced;
@@ -143,14 +146,14 @@
     it = runs.erase(it);
     ++restarted.transferred_runs;
   }
-  // An order sent to the earlier life may have reached this one. Its lease
-  // deadline then lies far ahead on a clock that has just restarted.
+  // A command sent to the earlier incarnation may have reached this one. Its
+  // lease deadline then lies far ahead on a clock that has just restarted.
   next.may_hold_earlier_lease = true;
   next.latest_lease_end =
       std::max(earlier.latest_lease_end, now + this->limits.max_lease);
   this->actions.emplace_back(restarted);
-  // The earlier life refuses late starts of runs that were stopped there; the
-  // next one does not know of the stops, so they are sent again.
+  // The earlier incarnation refuses late starts of runs that were stopped
+  // there; the next one does not know of the stops, so they are sent again.
   for (const UnansweredStart& start : earlier.recent_unanswered_starts) {
     if (!next.runs.contains(start.task))
       this->actions.emplace_back(StopRun{
@@ -188,7 +191,7 @@
   AddRun(next, id, std::move(run));
 }
 
-// --- Ended lives ---
+// --- Ended incarnations ---
 
 void Scheduler::WorkerDeregistered(const std::string& id, base::Micros now) {
   this->ended_incarnations.erase(id);
@@ -213,9 +216,10 @@
   ++this->worker_change_count;
 }
 
-// Remembers the life as over. When the store has discarded its change history,
-// all rows are read again, including announcements of ended lives. Without this
-// record, such a life on a box in upkeep would be taken for its successor.
+// Remembers the incarnation as over. When the store has discarded its change
+// history, all rows are read again, including announcements of ended
+// incarnations. Without this record, such an incarnation on a box in
+// maintenance would be taken for its successor.
 void Scheduler::EndIncarnation(const jobs::WorkerLife& incarnation,
                                LossReason reason,
                                base::Micros now) {
--- a/scheduler/worker_incarnations_test.cc
+++ b/scheduler/worker_incarnations_test.cc
@@ -33,7 +33,7 @@
   return step;
 }
 
-// Generates jobs of one or two steps, some of them with lasting tasks.
+// Generates jobs of one or two steps, some of them with long-running tasks.
 std::vector<ModelJob> GenerateJobs(int count) {
   std::vector<ModelJob> jobs;
   for (int i = 0; i < count; ++i) {
@@ -98,8 +98,8 @@
 
 }  // namespace
 
-// Each life numbers its ends from 1. Guards against skipping ends of the next
-// life as already read because their numbers are lower.
+// Each incarnation numbers its ends from 1. Guards against skipping ends of the
+// next incarnation as already read because their numbers are lower.
 BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
@@ -120,7 +120,7 @@
   bench.Save(Only<SaveProgress>(bench.Turn()));
   bench.Turn();
   // The worker restarts, numbers its ends from 1 again, and must not receive an
-  // acknowledgement for the earlier life.
+  // acknowledgement for the earlier incarnation.
   scheduler::WorkerInfo next = Bench::Worker("w");
   next.incarnation.born_ms = kNextBorn;
   bench.scheduler.UpdateWorker(next, bench.now);
@@ -145,9 +145,9 @@
               jobs::JobState::kCompleted);
 }
 
-// Guards against an acknowledgement that reaches a later life, which would take
-// it for its own ends and discard them. While a start is not confirmed by a
-// listing, a later life may have received it.
+// Guards against an acknowledgement that reaches a later incarnation, which
+// would take it for its own ends and discard them. While a start is not
+// confirmed by a report, a later incarnation may have received it.
 BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
@@ -180,8 +180,8 @@
   BOOST_TEST(after[0].acknowledged == 1);
 }
 
-// Guards against a late start that the next life carries out because it does
-// not know that the run was stopped.
+// Guards against a late start that the next incarnation carries out because it
+// does not know that the run was stopped.
 BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
@@ -227,7 +227,8 @@
   BOOST_TEST(holds);
 }
 
-// Guards against giving up lasting tasks for worker losses that did not happen.
+// Guards against giving up long-running tasks for worker losses that did not
+// happen.
 BOOST_AUTO_TEST_CASE(LastingTasksSurviveWorkerRestarts) {
   const bool holds = rc::check("lasting tasks run on", [] {
     const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
--- a/scheduler/worker_reports.cc
+++ b/scheduler/worker_reports.cc
@@ -1,4 +1,4 @@
-// Handling of workers' listings, of answers to starts and stops, and of lease
+// Handling of workers' reports, of answers to starts and stops, and of lease
 // expiry for workers that do not answer.
 
 #include <algorithm>
@@ -16,12 +16,12 @@
 
 using std::chrono::milliseconds;
 
-// Delay of the next poll after ends were listed, so that it returns several
+// Delay of the next poll after ends were reported, so that it returns several
 // ends at once. Each poll costs as much as a probe.
 constexpr base::Micros kPollDelayAfterEnds = milliseconds(200);
 // A poll that failed is repeated after kPollRetryDelay times the number of
-// failures in a row, at most kMaxPollRetryDelay. A worker that refused a
-// start for lack of room or an expired lease gets nothing for kPollRetryDelay.
+// failures in a row, at most kMaxPollRetryDelay. A worker that refused a start
+// for lack of capacity or an expired lease gets nothing for kPollRetryDelay.
 constexpr base::Micros kPollRetryDelay = milliseconds(250);
 constexpr base::Micros kMaxPollRetryDelay = milliseconds(1000);
 // After this many unanswered starts in a row nothing is placed on the worker
@@ -62,8 +62,8 @@
     ++this->worker_change_count;
     this->fleet.OnBoxAnswered(worker.info.box);
     // From now on the worker refuses grants of earlier owners. Without this
-    // bound the lasting tasks of a worker that died 3 s after a takeover waited
-    // another 7 s.
+    // bound, the long-running tasks of a worker that died 3 s after a takeover
+    // waited another 7 s.
     if (!worker.may_hold_earlier_lease)
       worker.latest_lease_end =
           std::min(worker.latest_lease_end, now + this->limits.max_grant);
@@ -87,15 +87,15 @@
     worker.last_processed_end = end.sequence;
     has_new_ends = true;
   }
-  // 3. Listed runs.
+  // 3. Reported runs.
   for (const ReportedRun& run : report.running)
     this->ProcessReportedRun(worker, run, now);
-  // 4. Expected runs that are not listed.
+  // 4. Expected runs that are not reported.
   this->ResolveMissingRuns(worker, report, now);
   this->MigrateOffUnhealthyWorker(worker, now);
   this->ThrottleFillers(worker);
   this->AdvanceRecordedEnds(worker);
-  // Ends that were not acknowledged yet are listed again at once.
+  // Ends that were not acknowledged yet are reported again at once.
   const bool has_unacknowledged_ends =
       worker.last_recorded_end > worker.last_acknowledged_end;
   worker.next_poll_at =
@@ -150,7 +150,7 @@
   if (!reported.checkpoint.empty())
     task.checkpoint = reported.checkpoint;
   // A run that is being stopped does not count as at work, even if an older
-  // listing shows it at 100%.
+  // report shows it at 100%.
   task.is_serving = reported.percent >= 100 && run.state == RunState::kRunning;
   // The run may be an earlier owner's, of a job or task that is over by now.
   if (job->end_is_saved() || task.state == TaskState::kDone)
@@ -191,7 +191,7 @@
   // Without a matching task of the job the resource usage is unknown.
   run.has_unknown_resources = !known;
   AddRun(worker, reported.task, run);
-  // A listed run implies a lease, whoever granted it.
+  // A reported run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.max_grant);
   if (known) {
@@ -243,7 +243,7 @@
   for (auto& [task, run] : worker.runs) {
     if (reported.contains(task))
       continue;
-    // The listing may be older than the answer to the start or stop. An
+    // The report may be older than the answer to the start or stop. An
     // inherited run cannot be started later, since the worker now refuses
     // earlier epochs.
     const bool start_settled = run.state == RunState::kRunning &&
@@ -253,9 +253,9 @@
     const bool inherited = run.state == RunState::kInherited;
     if (!start_settled && !stop_settled && !inherited)
       continue;
-    // A run that is being stopped keeps its resources until its end is listed.
-    // A run that never started has no end, so it is dropped once it has been
-    // missing for longer than a stop can take.
+    // A run that is being stopped keeps its resources until its end is
+    // reported. A run that never started has no end, so it is dropped once it
+    // has been missing for longer than a stop can take.
     if (run.missing_since == base::Micros::zero())
       run.missing_since = worker.poll_sent_at;
     else if (worker.poll_sent_at >
@@ -273,7 +273,7 @@
 }
 
 // Applies what a call's outcome tells about the worker and about this
-// ownership. Returns null if the life is not known or over.
+// ownership. Returns null if the incarnation is not known or over.
 Worker* Scheduler::ApplyCommandOutcome(const jobs::WorkerLife& incarnation,
                                        CommandOutcome outcome,
                                        base::Micros now) {
@@ -314,13 +314,13 @@
                               base::Micros now,
                               std::int64_t clock_ms) {
   Worker* found = this->FindHolder(command.worker);
-  // Another life answered, so this one has not started the run.
+  // Another incarnation answered, so this one has not started the run.
   if (outcome == CommandOutcome::kOtherIncarnation && found) {
     RemoveRun(*found, command.task);
     this->HandleLostRun(command.task, command.run, now);
   }
-  // Otherwise the run has moved to a later life, and the answer tells nothing
-  // about that one.
+  // Otherwise the run has moved to a later incarnation, and the answer tells
+  // nothing about that one.
   if (!found || found->info.incarnation == command.worker)
     found = this->ApplyCommandOutcome(command.worker, outcome, now);
   if (!found)
@@ -372,8 +372,8 @@
   this->HandleLostRun(command.task, command.run, now);
 }
 
-// Confirms the run if the answer's clock shows that the listed life, rather
-// than a later one, answered the start.
+// Confirms the run if the answer's clock shows that the known
+// incarnation, rather than a later one, answered the start.
 void Scheduler::CheckClock(Worker& worker,
                            const StartRun& command,
                            Run& run,
@@ -455,7 +455,7 @@
   if (!settled)
     return;
   run->second.stop_answered_at = now;
-  // The end is listed within the time limit of a stop.
+  // The end is reported within the time limit of a stop.
   if (!worker.poll_in_flight)
     worker.next_poll_at = std::min(
         worker.next_poll_at, now + this->limits.max_stop_time + kStopPollSlack);
@@ -468,8 +468,8 @@
     for (auto& [task, run] : worker.runs) {
       const bool stop_unanswered = run.state == RunState::kStopping &&
                                    run.stop_answered_at == base::Micros::zero();
-      // A lasting task may be at work by now while others of its step are
-      // away, so it is stopped only after a listing that does not show it.
+      // A long-running task may be at work by now while others of its step are
+      // away, so it is stopped only after a report that does not show it.
       const bool may_work = run.is_long_running && worker.report_requested_at <=
                                                        run.start_unsettled_at;
       const bool start_open = run.state == RunState::kUnsettled && !may_work &&
@@ -492,7 +492,7 @@
     const bool is_expired = now > worker.latest_lease_end + kLeaseExpirySlack;
     if (!is_expired)
       continue;
-    // A planned run has no lease yet; the next listing or answer decides on it.
+    // A planned run has no lease yet; the next report or answer decides on it.
     const bool has_only_plans = std::all_of(
         worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
           return entry.second.state == RunState::kPlanned;
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -83,8 +83,8 @@
         scheduler::MakeJob(id, queue, spec, {}, this->now, {}), this->now);
   }
 
-  // Sends a look to the worker and delivers `report` as its answer 10 ms
-  // later. The look grants a lease if `grant` is positive.
+  // Sends a poll to the worker and delivers `report` as its answer 10 ms later.
+  // The poll grants a lease if `grant` is positive.
   void Report(const std::string& worker,
               scheduler::WorkerReport report,
               base::Micros grant = {}) {
@@ -100,7 +100,7 @@
     this->scheduler.WorkersRecorded({this->LifeOf(worker)});
   }
 
-  // Returns the worker life that the scheduler knows under the id.
+  // Returns the worker incarnation that the scheduler knows under the id.
   jobs::WorkerLife LifeOf(const std::string& id) const {
     const scheduler::Worker* known = this->scheduler.FindWorker(id);
     return known ? known->info.incarnation : jobs::WorkerLife{.id = id};
--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -149,8 +149,8 @@
   }
 }
 
-// Stores the listed workers as held by this owner. This precedes each worker's
-// first lease from it.
+// Stores the workers that have reported as held by this owner. This precedes
+// each worker's first lease from it.
 void SchedulerModel::RecordLeaseHolders(Owner& owner) {
   std::vector<jobs::WorkerLife> held;
   for (const auto& [incarnation, worker] : owner.scheduler->all_workers()) {
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -1,7 +1,7 @@
 // A deterministic simulation around schedulers: a versioned store, workers with
 // leases and fencing, and messages that are lost, delayed or reordered. Several
 // owners may be active at once. The invariants are checked at the workers and
-// boxes, where orders take effect.
+// boxes, where commands take effect.
 
 #ifndef TESTING_SCHEDULER_MODEL_H_
 #define TESTING_SCHEDULER_MODEL_H_
@@ -23,8 +23,8 @@
 
 // Probabilities, per message unless stated otherwise.
 struct ModelFaults {
-  double lost_answer = 0.0;   // an order is carried out, but its answer is lost
-  double lost_command = 0.0;  // an order never arrives
+  double lost_answer = 0.0;  // a command is carried out, but its answer is lost
+  double lost_command = 0.0;  // a command never arrives
   double late_command = 0.0;  // carried out 2 to 6 s later, never answered
   double lost_save = 0.0;     // a save is carried out, but its answer is lost
   double late_save = 0.0;     // tried 1 to 4 s later, never answered
@@ -32,7 +32,7 @@
   // 6 s. Half of the saves in that time are lost, half are carried out after
   // it.
   double store_outage = 0.0;
-  double crash = 0.0;  // per second: a worker's life ends
+  double crash = 0.0;  // per second: a worker's incarnation ends
   // Per second: a worker stops and starts again under its id 20 to 1500 ms
   // later without any state. Owners are told 20 to 1500 ms after that.
   double restart = 0.0;
@@ -59,7 +59,7 @@
   int attempts = 3;
   std::string service = "pool";
   // Tasks that crash each worker that starts them, `crash_after` after the
-  // start. Another worker life starts on the box later.
+  // start. Another worker incarnation starts on the box later.
   std::set<scheduler::TaskPosition> crashing;
   base::Micros crash_after = std::chrono::milliseconds(10);
 };
@@ -72,7 +72,7 @@
 // Workers limit each lease to this, on their own clocks.
 inline constexpr base::Micros kLongestLease = std::chrono::milliseconds(8000);
 
-// How long a box is away for a move or for its upkeep.
+// How long a box is away for a move or for its maintenance.
 inline constexpr base::Micros kMoveTime = std::chrono::milliseconds(1500);
 inline constexpr base::Micros kMaintenanceTime =
     std::chrono::milliseconds(2000);
@@ -89,13 +89,13 @@
   void Heal();
   void Cancel(const std::string& job);
   // Stops every worker that runs a task of the job, without a sign that its
-  // life is over. A new box with a worker is added for each.
+  // incarnation is over. A new box with a worker is added for each.
   void SilenceWorkersOf(const std::string& job);
   // Stops confirming the owner and starts a new one after the takeover delay.
   void TakeOver();
-  // Starts an upkeep wave over all boxes, at most `max_at_once` at a time.
+  // Starts a maintenance wave over all boxes, at most `max_at_once` at a time.
   void BeginWave(int max_at_once);
-  // Number of boxes that have had their upkeep.
+  // Number of boxes that have had their maintenance.
   int MaintainedBoxes() const;
 
   // Descriptions of the violated invariants.
@@ -120,7 +120,7 @@
     int number = 0;
     base::Micros ends{};  // when the run ends by itself or after a stop
     bool fails = false;
-    bool stopping = false;  // still uses its resources, but is not listed
+    bool stopping = false;  // still uses its resources, but is not reported
   };
   struct Worker {
     std::string id;
@@ -130,9 +130,9 @@
     base::Micros capacity_changed{};
     bool alive = true;
     bool silent = false;  // dead, and nothing answers at its address
-    // Dead; another life answers on its box from this time on.
+    // Dead; another incarnation answers on its box from this time on.
     std::optional<base::Micros> replaced_at;
-    std::int64_t born_ms = 0;  // the start of this life
+    std::int64_t born_ms = 0;  // the start of this incarnation
     // Dead; starts again under its id soon.
     bool restarting = false;
     bool announced = true;
@@ -160,11 +160,11 @@
     std::map<scheduler::TaskPosition, int>
         crashes;  // of workers that started it
     std::map<scheduler::TaskPosition, int> starts_since_third_crash;
-    // Worker lives that ended without an order while the task ran there,
-    // whatever the cause.
+    // Worker incarnations that ended without a command while the task ran
+    // there, whatever the cause.
     std::map<scheduler::TaskPosition, int> lost_workers;
   };
-  // `available_at`: end of the current move or upkeep.
+  // `available_at`: end of the current move or maintenance.
   struct Box {
     std::string pool;
     scheduler::BoxState state = scheduler::BoxState::kUp;
@@ -172,7 +172,7 @@
     std::uint64_t epoch = 0;  // highest seen
     bool had_maintenance = false;
   };
-  // State of a lasting task for the limit on tasks that may be away.
+  // State of a long-running task for the limit on tasks that may be away.
   struct Presence {
     base::Micros last_at_work{};
     bool is_away_by_command = false;
@@ -257,7 +257,7 @@
               scheduler::RunEndReason how);
   void AdvanceRuns(Worker& worker);
   void AcknowledgeEnds(Worker& worker, std::int64_t acknowledged);
-  // Called for a start or a look, both of which grant a lease.
+  // Called for a start or a poll, both of which grant a lease.
   void GrantLease(Worker& worker, base::Micros deadline) const;
   base::Micros ClockOf(const Worker& worker) const;
   scheduler::WorkerReport ReportOf(const Worker& worker) const;
@@ -269,7 +269,7 @@
   base::Micros now = std::chrono::seconds(100);
   std::map<std::string, Worker> workers;
   // The stored list of workers that may hold a lease. `until`: the end of the
-  // lease, if the current owner has not listed the worker yet.
+  // lease, until the worker has reported to the current owner.
   struct Lease {
     jobs::WorkerLife incarnation;
     std::optional<base::Micros> until;
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-// --- Moves and upkeep of boxes ---
+// --- Moves and maintenance of boxes ---
 
 void SchedulerModel::ShutDownBox(const std::string& name,
                                  BoxState state,
@@ -259,9 +259,9 @@
   }
 }
 
-// Called when an order stops a task. Reports a violation if as many other tasks
-// of its step as may be away are away already, either by an order or for longer
-// than kAwayThreshold.
+// Called when a command stops a task. Reports a violation if as many other
+// tasks of its step as may be away are away already, either by a command or for
+// longer than kAwayThreshold.
 void SchedulerModel::CheckDisruption(const jobs::TaskId& task,
                                      const std::string& by) {
   const StoredJob& stored = this->jobs.at(task.job);
--- a/testing/scheduler_model_messages.cc
+++ b/testing/scheduler_model_messages.cc
@@ -1,5 +1,5 @@
-// The model's orders to workers, which may be lost, delayed, reordered or left
-// unanswered.
+// The model's commands to workers, which may be lost, delayed, reordered or
+// left unanswered.
 
 #include <memory>
 #include <utility>
@@ -42,7 +42,8 @@
       answer_after(milliseconds(5), CommandOutcome::kNotSent);
       return;
     }
-    // Nothing listens at the address until the next life starts on the box.
+    // Nothing listens at the address until the next incarnation starts on the
+    // box.
     if (found != this->workers.end() && found->second.replaced_at) {
       answer_after(milliseconds(5), this->now < *found->second.replaced_at
                                         ? CommandOutcome::kNotSent
@@ -65,7 +66,7 @@
       late ? this->Between(2000, 6000) : this->Between(1, 30);
   if (lost)
     answer_after(kCommandTimeout, CommandOutcome::kUnknown);
-  // An order that is under way is lost when the worker life ends.
+  // A command that is under way is lost when the worker incarnation ends.
   this->ScheduleAfter(delay, [this, id, carry_out, lost, answer_after,
                               born = found->second.born_ms] {
     Worker& worker = this->workers.at(id);
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -125,8 +125,9 @@
   }
 }
 
-// The end of the life isn't announced. Another life starts on the box a few
-// seconds later, and the announcement expires after three missed heartbeats.
+// The end of the incarnation isn't announced. Another incarnation starts on the
+// box a few seconds later, and the announcement expires after three missed
+// heartbeats.
 void SchedulerModel::CrashWorker(Worker& worker) {
   this->CountLosses(worker);
   worker.alive = false;
