--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -115,7 +115,7 @@
 // requested a move under epoch 3 seven seconds after epoch 4 had begun
 // (35.008 s, confirmed_ms 8314, heard_ms 9143, presumed_over true), and the box
 // moved at 35.033 s.
-BOOST_AUTO_TEST_CASE(OwnerThatStoodStillMovesNoBoxFromUnderALastingTask) {
+BOOST_AUTO_TEST_CASE(PausedOwnerMovesNoBoxWithLongRunningTasks) {
   TwoLongRunningTasks two;
   two.SetOtherPoolShort();
   BOOST_TEST(two.MovedAfter(seconds(6)).empty());
@@ -125,7 +125,7 @@
 // expire in its own records while another daemon renews them. In trials with a
 // zone cut off for 10 s it requested moves with confirmed_ms 4429 to 6580 and
 // presumed_over true while another daemon held the ownership.
-BOOST_AUTO_TEST_CASE(OwnerThatIsCutOffMovesNoBoxFromUnderALastingTask) {
+BOOST_AUTO_TEST_CASE(PartitionedOwnerMovesNoBoxWithLongRunningTasks) {
   TwoLongRunningTasks two;
   for (int i = 0; i < 20; ++i) {
     two.bench.scheduler.PollFailed(two.bench.LifeOf("a"),
@@ -140,7 +140,7 @@
 
 // Boxes last known as idle may hold another owner's tasks by now. An owner
 // moves none until its ownership is confirmed.
-BOOST_AUTO_TEST_CASE(IdleBoxIsNotMovedWhileTheOwnershipIsNotCertain) {
+BOOST_AUTO_TEST_CASE(IdleBoxIsNotMovedWhileOwnershipIsUnconfirmed) {
   TwoLongRunningTasks two;
   two.SetOtherPoolShort();
   BOOST_TEST(two.MovedAfter(milliseconds(1300)).empty());
@@ -151,7 +151,7 @@
 // The ownership is confirmed, but a worker stays silent until its lease
 // expires. Nothing shows that its box is empty, so it is not moved before it
 // answers.
-BOOST_AUTO_TEST_CASE(BoxThatIsNotHeardSinceItsLeaseIsNotMoved) {
+BOOST_AUTO_TEST_CASE(BoxOfSilentWorkerIsNotMovedAfterLeaseExpiry) {
   TwoLongRunningTasks two;
   jobs::Step step = Bench::OneTask();
   step.each.cpu_millis = 4000;
--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -22,7 +22,7 @@
 
 // Guards against overcommitting a worker: its capacity shrank while a placement
 // was being saved, and the start command was sent anyway.
-BOOST_AUTO_TEST_CASE(PlanThatDoesNotFitAnyMoreIsNotStarted) {
+BOOST_AUTO_TEST_CASE(PlannedRunIsNotStartedIfCapacityShrank) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
     bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
@@ -44,7 +44,7 @@
 
 // When a worker's capacity shrinks below its usage, the current runs go on and
 // no new ones start until the capacity has grown again.
-BOOST_AUTO_TEST_CASE(RoomThatShrankTakesNothingUntilItFits) {
+BOOST_AUTO_TEST_CASE(OvercommittedWorkerGetsNoRunsUntilCapacityGrows) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.Report("w", {});
--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -57,7 +57,7 @@
 
 // Guards against owners that count only the crashes they saw themselves: each
 // owner sees one or two, and none sees three.
-BOOST_AUTO_TEST_CASE(CrashesThatEarlierOwnersSawCount) {
+BOOST_AUTO_TEST_CASE(CrashesRecordedByEarlierOwnersCount) {
   ModelJob crashing_job = MakeJob("crashing", 1);
   crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
   SchedulerModel model(1, {}, 5, {crashing_job, MakeJob("other", 5)});
@@ -74,7 +74,7 @@
 // Only one task of the long-running job may be away at a time. The task that
 // crashes its workers is given up, and the other tasks must not be stopped for
 // it.
-BOOST_AUTO_TEST_CASE(LastingTasksBesideACrashingOneServeOn) {
+BOOST_AUTO_TEST_CASE(LongRunningTasksKeepServingBesideCrashingTask) {
   ModelJob long_running = MakeJob("lasting", 4);
   long_running.spec.steps[0].lasting = true;
   long_running.spec.steps[0].may_be_away = 1;
@@ -90,7 +90,7 @@
 
 // The limit on starts of crashing tasks holds with takeovers, paused or
 // partitioned owners, lost answers and saves, and unrelated worker crashes.
-BOOST_AUTO_TEST_CASE(CrashingTasksAreStartedNoMoreThanTheyMay) {
+BOOST_AUTO_TEST_CASE(CrashingTaskStartsStayWithinLimit) {
   const bool holds = rc::check("crashing tasks are given up in time", [] {
     const auto odds = [](int max_per_mille) {
       return *rc::gen::inRange(0, max_per_mille) / 1000.0;
@@ -148,7 +148,7 @@
 
 // Guards against giving up tasks that were lost together with a crashing one,
 // also across takeovers.
-BOOST_AUTO_TEST_CASE(CompanyOfCrashingTasksIsNotGivenUp) {
+BOOST_AUTO_TEST_CASE(TasksLostWithCrashingTaskAreNotGivenUp) {
   const bool holds = rc::check("jobs without crashing tasks are completed", [] {
     std::vector<ModelJob> jobs;
     for (int i = 0; i < 8; ++i) {
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -41,7 +41,7 @@
   return found;
 }
 
-RC_BOOST_PROP(AllocationFitsAndUrgentWorkComesFirst, ()) {
+RC_BOOST_PROP(AllocationFitsTotalAndFavoursUrgentDemand, ()) {
   std::vector<FleetPool> pools;
   const int count = *rc::gen::inRange(1, 6);
   double urgent = 0.0;
@@ -67,7 +67,7 @@
   RC_ASSERT(sum <= total + 1e-6);
 }
 
-BOOST_AUTO_TEST_CASE(IdleBoxGoesToThePoolThatIsShort) {
+BOOST_AUTO_TEST_CASE(IdleBoxMovesToPoolShortOfCores) {
   FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "calm"), IdleBox("b2", "calm"),
@@ -85,7 +85,7 @@
 
 // Overload in one pool must not leave another without the box that its
 // long-running tasks need.
-BOOST_AUTO_TEST_CASE(PoolOfLastingTasksGetsItsBoxThoughAllAreShort) {
+BOOST_AUTO_TEST_CASE(MinBoxesAreMetWhenAllPoolsAreShort) {
   FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "busy"), IdleBox("b2", "busy")};
@@ -101,7 +101,7 @@
   BOOST_TEST(moves[0].pool == "lasts");
 }
 
-BOOST_AUTO_TEST_CASE(MoveWithoutAnAnswerIsAskedForAgain) {
+BOOST_AUTO_TEST_CASE(UnansweredMoveIsRetried) {
   FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "calm")};
@@ -135,7 +135,7 @@
   BOOST_TEST(!fleet.IsLeaving("b2"));
 }
 
-RC_BOOST_PROP(WaveKeepsToItsLimitAndForgetsNoBox, ()) {
+RC_BOOST_PROP(WaveStaysWithinLimitAndCoversEveryBox, ()) {
   const int count = *rc::gen::inRange(1, 12);
   const int most = *rc::gen::inRange(1, 5);
   Wave wave{.number = 3,
@@ -220,7 +220,7 @@
 // An owner that was paused may read a box list long after it was written. A
 // list requested before maintenance shows the box as up, but must not count as
 // evidence that the box is back; otherwise the wave exceeds its limit.
-BOOST_AUTO_TEST_CASE(ListFromBeforeAnUpkeepDoesNotBringTheBoxBack) {
+BOOST_AUTO_TEST_CASE(StaleBoxListDoesNotEndMaintenance) {
   FleetPlanner fleet(kLimits);
   const FleetView view{
       .boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
@@ -251,7 +251,7 @@
 // A previous owner's maintenance call may still be in flight. The box counts as
 // away from the start, and once its worker has answered and is idle the call is
 // repeated, so that the box refuses the earlier one by its lower epoch.
-BOOST_AUTO_TEST_CASE(InheritedUpkeepCountsUntilItIsMadeAnew) {
+BOOST_AUTO_TEST_CASE(InheritedMaintenanceCountsUntilRepeated) {
   FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
                  .pools = {{.name = "pool", .spare = false, .demand = {}}}};
@@ -280,7 +280,7 @@
 
 // A box with runs shows that the previous owner abandoned its call or that it
 // was carried out long ago. Repeating the call would end those runs.
-BOOST_AUTO_TEST_CASE(InheritedCallEndsNothingThatRuns) {
+BOOST_AUTO_TEST_CASE(InheritedCallIsNotRepeatedOnBusyBox) {
   FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
                  .pools = {{.name = "pool", .spare = false, .demand = {}}}};
@@ -314,7 +314,7 @@
 // A crashed worker that restarts while its box goes down announces a new
 // instance. Taken as the end of the maintenance, this let the wave exceed its
 // limit.
-BOOST_AUTO_TEST_CASE(LifeThatStartsWhileItsBoxIsTakenIsNotBackFromTheUpkeep) {
+BOOST_AUTO_TEST_CASE(IncarnationStartedDuringShutdownDoesNotEndMaintenance) {
   FleetPlanner fleet({.move_duration = milliseconds(1500),
                       .maintenance_duration = seconds(2)});
   const Wave wave{.number = 1,
@@ -343,7 +343,7 @@
 // A move that got no answer may have been carried out, and its box announced in
 // the new pool before the repeated call is confirmed. The box must be usable as
 // soon as it is.
-BOOST_AUTO_TEST_CASE(BoxThatIsBackServesOnceItsMoveIsAnswered) {
+BOOST_AUTO_TEST_CASE(MovedBoxIsUsableOnceMoveIsConfirmed) {
   FleetPlanner fleet(kLimits);
   const base::Micros now = seconds(10);
   fleet.Inherit(
@@ -362,7 +362,7 @@
 
 // Boxes with long-running tasks are evacuated one after the other. Unless they
 // start along with the idle ones, they miss the wave's deadline.
-BOOST_AUTO_TEST_CASE(BoxesOfLastingTasksBeginWithTheFirst) {
+BOOST_AUTO_TEST_CASE(BoxesWithLongRunningTasksStartWithTheIdleOnes) {
   FleetPlanner fleet(kLimits);
   Wave wave{
       .number = 1, .boxes = {}, .duration = seconds(25), .max_concurrent = 16};
@@ -386,7 +386,7 @@
   BOOST_TEST(Only<EvacuateBox>(fleet.Plan(view, seconds(2))).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(LaterOwnerDoesNotBeginAnUpkeepAgain) {
+BOOST_AUTO_TEST_CASE(RecordedMaintenanceIsNotRepeatedByLaterOwner) {
   FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
@@ -406,7 +406,7 @@
   BOOST_TEST(begun[0].box == "b2");
 }
 
-BOOST_AUTO_TEST_CASE(UpkeepThatAnEarlierOwnerBeganCounts) {
+BOOST_AUTO_TEST_CASE(UnrecordedMaintenanceOfEarlierOwnerCounts) {
   FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
@@ -431,7 +431,7 @@
 
 // When two waves cover one box, its maintenance for one wave must not count for
 // the other, neither while the list shows it nor shortly after.
-BOOST_AUTO_TEST_CASE(UpkeepForOneWaveIsNoneForAnother) {
+BOOST_AUTO_TEST_CASE(MaintenanceCountsForOneWaveOnly) {
   FleetPlanner fleet(kLimits);
   const auto wave = [](int number) {
     return Wave{.number = number,
@@ -466,7 +466,7 @@
 }
 
 // Such a box may be used again before the box service lists it as up.
-BOOST_AUTO_TEST_CASE(BoxThatAnswersIsBackFromAnEarlierOwnersUpkeep) {
+BOOST_AUTO_TEST_CASE(WorkerAnswerEndsInheritedMaintenance) {
   FleetPlanner fleet(kLimits);
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
@@ -479,7 +479,7 @@
   BOOST_TEST(fleet.IsLeaving("b2"));
 }
 
-BOOST_AUTO_TEST_CASE(RemovedBoxDoesNotHoldUpItsWave) {
+BOOST_AUTO_TEST_CASE(RemovedBoxDoesNotBlockWave) {
   FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"gone"},
--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -24,7 +24,7 @@
 // omits runs that are being stopped, took the task for unplaced and started it
 // on the same worker 0.2 s later, beside the first run. So stops wait until the
 // failure is saved.
-BOOST_AUTO_TEST_CASE(FailedJobStopsItsTasksOnceThatIsRecorded) {
+BOOST_AUTO_TEST_CASE(FailedJobStopsTasksAfterFailureIsSaved) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.Report("w", {});
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -102,7 +102,7 @@
 
 // Guards against takeovers in short succession that restart the wait for a dead
 // worker's lease each time, so that its tasks never start elsewhere.
-BOOST_AUTO_TEST_CASE(TakeoversDoNotPutADeadWorkersTasksOff) {
+BOOST_AUTO_TEST_CASE(TakeoversDoNotDelayTasksOfDeadWorkers) {
   ModelJob job;
   job.id = "lasting";
   job.spec.steps = {MakeStep(2, 1000)};
@@ -122,7 +122,7 @@
 // Guards against a second start of a finished task: an owner that doesn't know
 // of its takeover saves an end, and acknowledges it to the worker, after the
 // new owner has read the row. Parts of the store are unavailable meanwhile.
-BOOST_AUTO_TEST_CASE(WhatAnEarlierOwnerSavedIsNotStartedAgain) {
+BOOST_AUTO_TEST_CASE(TaskSavedAsDoneByEarlierOwnerIsNotRestarted) {
   const bool holds = rc::check("a finished task is not started again", [] {
     std::vector<ModelJob> jobs = DrawJobs(4);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -146,7 +146,7 @@
 
 // Guards against a second start of a job that a new owner learns of from its
 // worker before the store delivers it.
-BOOST_AUTO_TEST_CASE(JobsThatTheirWorkersTellOfFirstRunOnce) {
+BOOST_AUTO_TEST_CASE(JobsReportedBeforeLoadingRunOnce) {
   const bool holds = rc::check("a job that is delivered late runs once", [] {
     std::vector<ModelJob> jobs = DrawJobs(3);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -168,7 +168,7 @@
   BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(PromisesHoldUnderFaults) {
+BOOST_AUTO_TEST_CASE(GuaranteesHoldUnderFaults) {
   const bool holds = rc::check(
       "no task runs twice, too early, too often or beyond its worker's "
       "capacity, and every job ends after the faults",
@@ -199,7 +199,7 @@
   BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(CancelledJobsStopForGood) {
+BOOST_AUTO_TEST_CASE(CancelledJobsStayStopped) {
   const bool holds =
       rc::check("a cancelled job runs no more tasks, whatever the faults", [] {
         std::vector<ModelJob> jobs = DrawJobs(2);
@@ -227,7 +227,7 @@
 // calls until the next owner has called it. During a maintenance wave, and
 // while another pool takes boxes, no more boxes and tasks are away than the
 // wave and the long-running job allow.
-BOOST_AUTO_TEST_CASE(OwnersThatStandStillTakeNoMoreThanMayBeAway) {
+BOOST_AUTO_TEST_CASE(PausedOwnersKeepDisruptionWithinLimits) {
   const bool holds = rc::check("no more is away than allowed", [] {
     ModelJob long_running;
     long_running.id = "lasting";
@@ -273,7 +273,7 @@
 // Worker capacity drops up to twice a second and recovers, while owners change
 // and commands are under way. Commands that a worker carries out seconds late
 // are excluded, because the platform's pages set no time bound for them.
-BOOST_AUTO_TEST_CASE(RoomThatShrinksIsNotPassed) {
+BOOST_AUTO_TEST_CASE(NoStartExceedsReducedCapacity) {
   const bool holds = rc::check("no start exceeds a reduced capacity", [] {
     std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 8));
     ModelFaults faults;
@@ -301,7 +301,7 @@
 // Guards against runs that a cancelled job starts late: a worker carries out a
 // start 2 to 6 s after it was sent, the owner that sent it has been replaced,
 // or both. Each run must be stopped within 5 s of the last late start.
-BOOST_AUTO_TEST_CASE(CancelledJobsStopThoughStartsAreLateAndTheirOwnerIsGone) {
+BOOST_AUTO_TEST_CASE(CancelledJobsStopDespiteLateStartsAndTakeover) {
   for (const double late : {0.0, 0.7}) {
     for (const bool is_replaced : {false, true}) {
       const bool holds = rc::check(
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -68,7 +68,7 @@
 // The upper bound of a lease must not pass for a lease that the worker is known
 // to hold: an adopted run, or a renewal without an answer, raises only the
 // bound.
-BOOST_AUTO_TEST_CASE(PollRenewsALeaseThatIsNotKnownToLast) {
+BOOST_AUTO_TEST_CASE(PollRenewsLeaseWithUnconfirmedEnd) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.Report("w", {}, bench.now + milliseconds(2000));
@@ -426,7 +426,7 @@
 // ever has enough, although the large task has precedence. Seen after such a
 // task had failed (at 38.0 s): it was not restarted within 10 s, while 340 to
 // 530 tasks waited in its pool at 117 to 145% of its cores.
-BOOST_AUTO_TEST_CASE(LastingTaskOfMuchMemoryGetsRoomInAFullPool) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskWithLargeMemoryStartsInFullPool) {
   Bench bench(1);
   std::map<std::string, std::vector<StartRun>> running;
   for (const char* worker : {"a", "b"}) {
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -160,7 +160,7 @@
 }  // namespace
 
 // Guards against a task over its quota that takes boxes from other pools.
-BOOST_AUTO_TEST_CASE(LastingTaskOverItsQuotaTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskOverItsQuotaTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kQuota);
   fleet.RunTurns(100);
@@ -169,7 +169,7 @@
 }
 
 // Guards against a job over its quota that reserves a box for each task.
-BOOST_AUTO_TEST_CASE(LastingJobOverItsQuotaReservesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningJobOverItsQuotaReservesNoBoxes) {
   ThreePools fleet;
   jobs::Step step = Bench::OneLongRunningTask();
   step.tasks = 100;
@@ -182,7 +182,7 @@
 
 // Guards against a task whose label no worker has and that takes boxes from
 // other pools.
-BOOST_AUTO_TEST_CASE(LastingTaskThatNoWorkerSuitsTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskWithoutSuitableWorkerTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kLabel);
   fleet.RunTurns(100);
@@ -192,7 +192,7 @@
 
 // Guards against a task larger than any worker that takes boxes from other
 // pools.
-BOOST_AUTO_TEST_CASE(LastingTaskLargerThanAnyWorkerTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskLargerThanAnyWorkerTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kSize);
   fleet.RunTurns(100);
@@ -202,7 +202,7 @@
 
 // Guards against a task without required advice that takes boxes from other
 // pools.
-BOOST_AUTO_TEST_CASE(LastingTaskWithoutAdviceTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskWithoutAdviceTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kAdvice);
   fleet.RunTurns(100);
@@ -222,7 +222,7 @@
 }
 
 // Guards against a pool that can't get the one box it needs.
-BOOST_AUTO_TEST_CASE(LastingTaskThatABoxWouldHoldGetsOne) {
+BOOST_AUTO_TEST_CASE(StuckLongRunningTaskGetsABox) {
   ThreePools fleet;
   jobs::Step many = Bench::OneLongRunningTask();
   many.tasks = 20;
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -15,7 +15,7 @@
 using testing::Only;
 using Bench = testing::SchedulerBench;
 
-BOOST_AUTO_TEST_CASE(RunOfAnUnknownJobTakesTheWholeRoomUntilItHasEnded) {
+BOOST_AUTO_TEST_CASE(RunOfUnknownJobOccupiesWholeWorkerUntilItEnds) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   bench.Report("w", {.clock_ms = 0,
@@ -67,7 +67,7 @@
 // A worker can list the end of a job before the job is read from the store. If
 // the end were acknowledged then, the worker would discard it and the task
 // would be started again.
-BOOST_AUTO_TEST_CASE(EndOfAJobThatIsNotKnownYetIsHeldUntilItIs) {
+BOOST_AUTO_TEST_CASE(EndOfUnknownJobIsUnacknowledgedUntilJobIsLoaded) {
   Bench bench(2);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   const WorkerReport report{.clock_ms = 0,
--- a/scheduler/worker_incarnations_test.cc
+++ b/scheduler/worker_incarnations_test.cc
@@ -100,7 +100,7 @@
 
 // Each incarnation numbers its ends from 1. Guards against skipping ends of the
 // next incarnation as already read because their numbers are lower.
-BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
+BOOST_AUTO_TEST_CASE(EndsAfterRestartUnderSameIdAreProcessed) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
   first.incarnation.born_ms = kFirstBorn;
@@ -148,7 +148,7 @@
 // Guards against an acknowledgement that reaches a later incarnation, which
 // would take it for its own ends and discard them. While a start is not
 // confirmed by a report, a later incarnation may have received it.
-BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
+BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideUnconfirmedRun) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
   info.incarnation.born_ms = kFirstBorn;
@@ -182,7 +182,7 @@
 
 // Guards against a late start that the next incarnation carries out because it
 // does not know that the run was stopped.
-BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
+BOOST_AUTO_TEST_CASE(UnansweredStartIsStoppedAtNextIncarnationToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
   info.incarnation.born_ms = kFirstBorn;
@@ -211,7 +211,7 @@
 
 // Guards against tasks that run twice when workers restart under the same id,
 // without their state, at any point between a call and its answer.
-BOOST_AUTO_TEST_CASE(EndsOfWorkersThatKeepTheirIdAreNotLost) {
+BOOST_AUTO_TEST_CASE(EndsSurviveWorkerRestartsUnderSameId) {
   const bool holds = rc::check("tasks on restarting workers run once", [] {
     const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
     const auto model = RunModelWithRestarts(jobs);
@@ -229,7 +229,7 @@
 
 // Guards against giving up long-running tasks for worker losses that did not
 // happen.
-BOOST_AUTO_TEST_CASE(LastingTasksSurviveWorkerRestarts) {
+BOOST_AUTO_TEST_CASE(LongRunningTasksSurviveWorkerRestarts) {
   const bool holds = rc::check("lasting tasks run on", [] {
     const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
     const auto model = RunModelWithRestarts(jobs);
