--- a/scheduler/box_planning.cc
+++ b/scheduler/box_planning.cc
@@ -106,9 +106,10 @@
         const std::vector<Task>& all = occurrence.steps[s].tasks;
         const std::int64_t tasks =
             std::count_if(all.begin(), all.end(), CountsAsDemand);
-        const std::int64_t most = step.most_per_worker;
-        const std::int64_t boxes = most > 0 ? (tasks + most - 1) / most
-                                            : std::min<std::int64_t>(tasks, 1);
+        const std::int64_t max_per_box = step.most_per_worker;
+        const std::int64_t boxes = max_per_box > 0
+                                       ? (tasks + max_per_box - 1) / max_per_box
+                                       : std::min<std::int64_t>(tasks, 1);
         int& known = min_boxes[job.queue.service];
         known = std::max(known, static_cast<int>(boxes));
       }
@@ -131,7 +132,7 @@
 // cores, which core demand does not show, to one box more than they have.
 void Scheduler::AddBoxesForStuckTasks(base::Micros now,
                                       const FleetView& view,
-                                      std::map<std::string, int>& least) {
+                                      std::map<std::string, int>& min_boxes) {
   std::map<std::string, int> idle;
   for (const auto& [incarnation, worker] : this->workers)
     idle[worker.info.service] += worker.idle() && this->IsUsable(worker, now);
@@ -157,7 +158,7 @@
     }
     const int requested =
         this->box_requests.MinBoxes(service, boxes, idle[service], now);
-    least[service] = std::max(least[service], requested);
+    min_boxes[service] = std::max(min_boxes[service], requested);
   }
 }
 
@@ -248,7 +249,7 @@
     return true;
   const jobs::Resources takes = ReservedBy(StepOf(*job, PositionOf(id)));
   const StepState& runs = StepAt(*job, PositionOf(id));
-  const std::int64_t most = StepOf(*job, PositionOf(id)).most_per_worker;
+  const std::int64_t max_per_box = StepOf(*job, PositionOf(id)).most_per_worker;
   return std::any_of(
       this->workers.begin(), this->workers.end(), [&](const auto& entry) {
         const Worker& worker = entry.second;
@@ -260,7 +261,7 @@
         return worker.info.service == job->queue.service &&
                this->IsUsable(worker, now) &&
                jobs::Fits(takes, worker.free_capacity()) &&
-               (most == 0 || here < most);
+               (max_per_box == 0 || here < max_per_box);
       });
 }
 
@@ -285,16 +286,16 @@
 
 BoxCallContext Scheduler::BoxCallContextOf(const std::string& box,
                                            base::Micros now) const {
-  BoxCallContext evidence{.confirmed_ago = now - this->confirmed_at,
-                          .last_answer_ago = base::Micros(-1)};
+  BoxCallContext context{.confirmed_ago = now - this->confirmed_at,
+                         .last_answer_ago = base::Micros(-1)};
   for (const auto& [id, worker] : this->workers) {
     if (worker.info.box != box)
       continue;
     if (worker.has_reported)
-      evidence.last_answer_ago = now - worker.last_answer_at;
-    evidence.runs_presumed_over = worker.runs_presumed_over;
+      context.last_answer_ago = now - worker.last_answer_at;
+    context.runs_presumed_over = worker.runs_presumed_over;
   }
-  return evidence;
+  return context;
 }
 
 void Scheduler::RunFleet(base::Micros now) {
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -58,7 +58,7 @@
                      [](const jobs::Step& step) { return step.lasting; });
 }
 
-TaskPosition PlaceOfKey(const jobs::TaskKey& key) {
+TaskPosition PositionOfKey(const jobs::TaskKey& key) {
   return {.occurrence = key.step.occurrence,
           .step = key.step.step,
           .index = key.index};
@@ -133,12 +133,12 @@
 
 // Cancels planned starts that were decided without losses that another owner
 // has stored: the save of the plan was refused and the stored row raised the
-// suspicion. Returns the places of the cancelled starts.
+// suspicion. Returns the positions of the cancelled starts.
 std::vector<TaskPosition> Scheduler::CancelSuspectPlans(
     Job& job,
     const jobs::Progress& stored,
     base::Micros now) {
-  std::vector<TaskPosition> voided;
+  std::vector<TaskPosition> cancelled;
   const std::vector<PendingStart> pending = job.pending_starts;
   for (const PendingStart& start : pending) {
     const auto worker = this->workers.find(TaskAt(job, start.position).worker);
@@ -157,15 +157,15 @@
       job.progress.placed[key] = recorded->second;
     else
       job.progress.placed.erase(key);
-    voided.push_back(start.position);
+    cancelled.push_back(start.position);
   }
-  return voided;
+  return cancelled;
 }
 
 // Takes over the losses stored in the job's row.
 void Scheduler::InheritLosses(Job& job, base::Micros now) {
   for (const auto& [key, losses] : job.progress.losses) {
-    const TaskPosition position = PlaceOfKey(key);
+    const TaskPosition position = PositionOfKey(key);
     if (!HasTask(job, position))
       continue;
     TaskAt(job, position).latest_loss_at = now;
@@ -214,7 +214,7 @@
     job.progress.last_tries[KeyOf(position)].insert(run);
 }
 
-// Undoes NoteLastTry for a run that was not started.
+// Undoes RecordLastTry for a run that was not started.
 void Scheduler::RevokeLastTry(Job& job, const TaskPosition& position, int run) {
   const auto found = job.progress.last_tries.find(KeyOf(position));
   if (found == job.progress.last_tries.end())
@@ -267,7 +267,7 @@
     return;
   const bool keeps_running = HasLongRunningStep(job);
   for (const auto& [key, losses] : job.progress.losses) {
-    const TaskPosition position = PlaceOfKey(key);
+    const TaskPosition position = PositionOfKey(key);
     if (!HasTask(job, position))
       continue;
     Task& task = TaskAt(job, position);
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -93,8 +93,8 @@
 }
 
 // The box list does not name the wave of a maintenance, and waves may overlap.
-// Were it counted for both, one wave would be reported as
-// completed without its own maintenance of the box.
+// Were it counted for both, one wave would be reported as completed without
+// its own maintenance of the box.
 bool FleetPlanner::IsInMaintenanceForOtherWave(int wave,
                                                const std::string& box,
                                                base::Micros asked) const {
--- a/scheduler/polls.cc
+++ b/scheduler/polls.cc
@@ -1,5 +1,5 @@
-// Polling of workers for their reports: when a poll is sent, how long the
-// worker may hold it open, and whether it renews the worker's lease.
+// Polling of workers: when a poll is sent, how long the worker may hold it
+// open, and whether it renews the worker's lease.
 
 #include <algorithm>
 
--- a/scheduler/run_ends.cc
+++ b/scheduler/run_ends.cc
@@ -301,8 +301,8 @@
   this->Stop(worker, id, now);
 }
 
-// Advances the last recorded end. Ends count as recorded in the order of their
-// numbers, because the worker discards all ends up to the acknowledged number.
+// Ends count as recorded in the order of their numbers, because the worker
+// discards all ends up to the acknowledged number.
 void Scheduler::AdvanceRecordedEnds(Worker& worker) {
   while (!worker.pending_ends.empty()) {
     const PendingEnd& end = worker.pending_ends.front();
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -401,7 +401,7 @@
   bool IsStuck(const ReadyTask& task, bool has_cores, base::Micros now) const;
   void AddBoxesForStuckTasks(base::Micros now,
                              const FleetView& view,
-                             std::map<std::string, int>& least);
+                             std::map<std::string, int>& min_boxes);
   int PriorityOf(const jobs::TaskId& task) const;
   void StopForEvacuation(const std::string& box, base::Micros now);
   BoxCallContext BoxCallContextOf(const std::string& box,
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -1,7 +1,8 @@
-// Runs and ends that workers list for jobs that the scheduler has not read yet.
+// Runs and ends that workers report for jobs that the scheduler has not read
+// yet.
 //
 // A new owner reads jobs and progress part by part and then polls the workers.
-// A worker may therefore list a job that was accepted and placed meanwhile
+// A worker may therefore report a job that was accepted and placed meanwhile
 // before the owner has read it. If its end were acknowledged then, the worker
 // would discard it: the job, once read, would have a placement for which the
 // worker reports neither a run nor an end, and would be started a second time.
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -64,8 +64,8 @@
              2000);
 }
 
-// A worker can list the end of a job before the job is read from the store. If
-// the end were acknowledged then, the worker would discard it and the task
+// A worker can report the end of a job before the job is read from the store.
+// If the end were acknowledged then, the worker would discard it and the task
 // would be started again.
 BOOST_AUTO_TEST_CASE(EndOfUnknownJobIsUnacknowledgedUntilJobIsLoaded) {
   Bench bench(2);
--- a/testing/scheduler_model_boxes.cc
+++ b/testing/scheduler_model_boxes.cc
@@ -223,7 +223,8 @@
       });
   if (down >= this->wave_limit)
     this->ReportViolation(fmt::format(
-        "upkeep of {} starts while {} boxes are in upkeep", call.box, down));
+        "maintenance of {} starts while {} boxes are in maintenance", call.box,
+        down));
   this->ShutDownBox(call.box, BoxState::kMaintenance, kMaintenanceTime);
   box.had_maintenance = true;
   return BoxCallOutcome::kDone;
