--- a/scheduler/box_calls_test.cc
+++ b/scheduler/box_calls_test.cc
@@ -44,7 +44,7 @@
     step.may_be_away = 1;
     this->bench.AddJob("job", step);
     for (int i = 0; i < 8 && this->starts.size() < 2; ++i) {
-      const std::vector<Action> actions = this->bench.Turn();
+      const std::vector<Action> actions = this->bench.RunPass();
       this->bench.Save(Only<SaveProgress>(actions));
       for (const StartRun& start : Only<StartRun>(actions)) {
         this->bench.scheduler.StartAnswered(start, CommandOutcome::kDone,
@@ -85,7 +85,8 @@
         this->bench.now);
   }
 
-  // Advances the clock and runs one turn; returns the boxes it moves.
+  // Advances the clock and runs one scheduling pass; returns the boxes it
+  // moves.
   std::vector<std::string> MovedAfter(base::Micros span) {
     this->bench.now += span;
     this->bench.scheduler.Advance(this->bench.now);
--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -31,7 +31,7 @@
   bench.AddJob("job");
   std::vector<SaveProgress> saves;
   while (saves.empty())
-    saves = Only<SaveProgress>(bench.Turn());
+    saves = Only<SaveProgress>(bench.RunPass());
   const std::string planned =
       bench.scheduler.FindWorker("a")->idle() ? "b" : "a";
   bench.scheduler.UpdateWorker(WithCores(planned, 500), bench.now);
@@ -60,8 +60,8 @@
                                           .percent = 50}},
                              .ended = {}};
   bench.Report("w", running);
-  for (int turn = 0; turn < 5; ++turn) {
-    const std::vector<Action> actions = bench.Turn();
+  for (int pass = 0; pass < 5; ++pass) {
+    const std::vector<Action> actions = bench.RunPass();
     BOOST_TEST(Only<StartRun>(actions).empty());
     BOOST_TEST(Only<StopRun>(actions).empty());
     bench.Save(Only<SaveProgress>(actions));
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -157,7 +157,7 @@
   std::map<std::string, int> begun;
   bool completed = false;
   base::Micros now = seconds(1);
-  for (int turn = 0; turn < 600 && !completed; ++turn) {
+  for (int pass = 0; pass < 600 && !completed; ++pass) {
     now += milliseconds(250);
     for (auto it = down.begin(); it != down.end();) {
       if (it->second > now) {
@@ -199,7 +199,7 @@
         completed = report->state == WaveState::kCompleted;
       }
     }
-    if (turn % 8 == 0) {
+    if (pass % 8 == 0) {
       std::vector<BoxInfo> listed;
       for (const auto& [name, box] : boxes) {
         listed.push_back(
--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -55,12 +55,12 @@
                            .reason = RunEndReason::kFailed,
                            .checkpoint = ""}}},
                bench.now + seconds(4));
-  const std::vector<Action> actions = bench.Turn();
+  const std::vector<Action> actions = bench.RunPass();
   const auto saves = Only<SaveProgress>(actions);
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_TEST(Only<StopRun>(actions).empty());
   bench.Save(saves);
-  const auto stops = Only<StopRun>(bench.Turn());
+  const auto stops = Only<StopRun>(bench.RunPass());
   BOOST_REQUIRE(stops.size() == 1U);
   BOOST_TEST(stops[0].task.index == 1);
 }
--- a/scheduler/ready_tasks_test.cc
+++ b/scheduler/ready_tasks_test.cc
@@ -80,7 +80,7 @@
       this->backlog += jobs_per_second * base::Seconds(kTick);
       for (; this->backlog >= 1.0; this->backlog -= 1.0)
         this->Submit();
-      this->Turn();
+      this->RunPass();
     }
   }
 
@@ -111,7 +111,7 @@
          .position = {}});
   }
 
-  void Turn() {
+  void RunPass() {
     this->now += kTick;
     while (!this->running.empty() && this->running.top().first <= this->now) {
       Job& job = *this->running.top().second;
@@ -254,7 +254,7 @@
 BOOST_AUTO_TEST_CASE(StartedJobsAreFinishedFirst) {
   Pool pool;
   pool.Submit();
-  pool.Turn();
+  pool.RunPass();
   BOOST_TEST(pool.tasks.empty());
   Job first;
   first.id = "first";
--- a/scheduler/scheduler_test.cc
+++ b/scheduler/scheduler_test.cc
@@ -43,7 +43,7 @@
   };
   base::Micros sum{};
   int polls = 0;
-  for (int turn = 0; turn < 2000; ++turn) {
+  for (int pass = 0; pass < 2000; ++pass) {
     bench.now += milliseconds(10);
     bench.Confirm();
     bench.scheduler.Advance(bench.now);
@@ -85,7 +85,7 @@
   bench.scheduler.LeaseGranted(bench.LifeOf("w"), bench.now + seconds(4));
   BOOST_REQUIRE(bench.scheduler.FindWorker("w")->latest_lease_end >=
                 bench.now + seconds(4));
-  const auto asked = Only<PollWorker>(bench.Turn());
+  const auto asked = Only<PollWorker>(bench.RunPass());
   BOOST_REQUIRE(!asked.empty());
   BOOST_TEST(asked.back().renews_lease);
 }
@@ -122,13 +122,13 @@
   while (start.worker.empty() && bench.now < heard + seconds(20)) {
     bench.scheduler.PollFailed(bench.LifeOf("dies"), CommandOutcome::kUnknown,
                                bench.now);
-    const std::vector<Action> actions = bench.Turn();
+    const std::vector<Action> actions = bench.RunPass();
     bench.Save(Only<SaveProgress>(actions));
     for (const StartRun& one : Only<StartRun>(actions))
       start = one;
   }
   BOOST_TEST(start.worker.id == "lives");
-  // A lease of 4 s, clocks that differ by 2%, and a few turns.
+  // A lease of 4 s, clocks that differ by 2%, and a few passes.
   BOOST_CHECK(bench.now < heard + milliseconds(5500));
 }
 
@@ -201,7 +201,7 @@
                                             .run = first.run,
                                             .reason = RunEndReason::kSucceeded,
                                             .checkpoint = ""}}});
-  const auto stops = Only<StopRun>(bench.Turn());
+  const auto stops = Only<StopRun>(bench.RunPass());
   BOOST_REQUIRE(stops.size() == 1);
   BOOST_TEST(stops[0].worker.id == second.worker.id);
 }
@@ -230,14 +230,14 @@
     return listed;
   };
   bench.Report("w", report(130));
-  auto paces = Only<ThrottleRun>(bench.Turn());
+  auto paces = Only<ThrottleRun>(bench.RunPass());
   BOOST_REQUIRE(paces.size() == 1);
   BOOST_TEST(paces[0].task.job == "fills");
   BOOST_TEST(paces[0].percent == 0);
   bench.Report("w", report(70));
-  BOOST_TEST(Only<ThrottleRun>(bench.Turn()).empty());
+  BOOST_TEST(Only<ThrottleRun>(bench.RunPass()).empty());
   bench.Report("w", report(20));
-  paces = Only<ThrottleRun>(bench.Turn());
+  paces = Only<ThrottleRun>(bench.RunPass());
   BOOST_REQUIRE(paces.size() == 1);
   BOOST_TEST(paces[0].percent == 20);
 }
@@ -249,11 +249,11 @@
     bench.Report(id, {});
   }
   bench.AddJob("job", jobs::Step(), true);
-  const std::vector<Action> asked = bench.Turn();
+  const std::vector<Action> asked = bench.RunPass();
   BOOST_REQUIRE(Only<RequestAdvice>(asked).size() == 1);
   BOOST_TEST(Only<SaveProgress>(asked).empty());
   // Only one request is in flight at a time.
-  BOOST_TEST(Only<RequestAdvice>(bench.Turn()).empty());
+  BOOST_TEST(Only<RequestAdvice>(bench.RunPass()).empty());
   bench.scheduler.AdviceAnswered(
       Only<RequestAdvice>(asked)[0],
       Advice{.tickets = {{{.id = "b"}, "t"}}, .valid_for = seconds(3)},
@@ -263,7 +263,7 @@
   BOOST_TEST(start.ticket == "t");
   // The worker rejects the ticket, which is not used again.
   bench.scheduler.StartAnswered(start, CommandOutcome::kNoTicket, bench.now);
-  BOOST_TEST(Only<StartRun>(bench.Turn()).empty());
+  BOOST_TEST(Only<StartRun>(bench.RunPass()).empty());
 }
 
 // The start of a long-running task was executed and its answer lost. Stopped at
@@ -278,9 +278,9 @@
   BOOST_REQUIRE(start.run == 1);
   bench.scheduler.LeaseGranted(bench.LifeOf("w"), bench.now + seconds(8));
   bench.scheduler.StartAnswered(start, CommandOutcome::kUnknown, bench.now);
-  BOOST_TEST(Only<StopRun>(bench.Turn()).empty());
+  BOOST_TEST(Only<StopRun>(bench.RunPass()).empty());
   bench.Report("w", {});
-  BOOST_TEST(Only<StopRun>(bench.Turn()).size() == 1U);
+  BOOST_TEST(Only<StopRun>(bench.RunPass()).size() == 1U);
 }
 
 // A worker that answers polls but no start must not be given task after task.
@@ -330,7 +330,7 @@
   bench.Report("w", {.clock_ms = 0, .running = {}, .ended = {}},
                std::chrono::seconds(4));
   bench.AddJob("j");
-  const auto saves = Only<SaveProgress>(bench.Turn());
+  const auto saves = Only<SaveProgress>(bench.RunPass());
   BOOST_REQUIRE(saves.size() == 1U);
   jobs::Progress stored;
   for (int run = 1001; run < 1004; ++run)
@@ -341,7 +341,7 @@
                                  .version = 7,
                                  .stored = stored},
                                 bench.now);
-  const std::vector<Action> after = bench.Turn();
+  const std::vector<Action> after = bench.RunPass();
   BOOST_TEST(Only<StartRun>(after).empty());
   const auto again = Only<SaveProgress>(after);
   BOOST_REQUIRE(again.size() == 1U);
@@ -376,18 +376,18 @@
                            .duration = seconds(60),
                            .max_concurrent = 1},
                           {}, bench.now);
-  const auto begun = Only<MaintainBox>(bench.Turn());
+  const auto begun = Only<MaintainBox>(bench.RunPass());
   BOOST_REQUIRE(begun.size() == 1U);
   BOOST_REQUIRE(begun[0].box == "box-1");
   bench.scheduler.MaintenanceAnswered(begun[0], BoxCallOutcome::kDone,
                                       bench.now);
   bench.scheduler.UpdateWorker(on_box("old", "box-1"), bench.now);
   bench.scheduler.UpdateWorker(on_box("new", "box-1"), bench.now);
-  BOOST_TEST(Only<MaintainBox>(bench.Turn()).empty());
+  BOOST_TEST(Only<MaintainBox>(bench.RunPass()).empty());
   BOOST_TEST(!bench.scheduler.FindWorker("old"));
   // A new incarnation on the box ends its maintenance.
   bench.scheduler.UpdateWorker(on_box("next", "box-1"), bench.now);
-  BOOST_TEST(Only<MaintainBox>(bench.Turn()).size() == 1U);
+  BOOST_TEST(Only<MaintainBox>(bench.RunPass()).size() == 1U);
 }
 
 // The pool's boxes have free cores but no free memory. Without another box the
@@ -409,7 +409,7 @@
   bench.AddJob("job", step);
   std::vector<MoveBox> moves;
   for (int i = 0; i < 8 && moves.empty(); ++i) {
-    const std::vector<Action> actions = bench.Turn();
+    const std::vector<Action> actions = bench.RunPass();
     bench.Save(Only<SaveProgress>(actions));
     bench.Report("full", {});
     bench.Report("idle", {});
@@ -440,15 +440,15 @@
   bench.AddJob("small", small);
   bool is_started = false;
   std::int64_t number = 0;
-  // Each box completes one task per turn of 0.3 s; the long-running task
+  // Each box completes one task per pass, every 0.3 s; the long-running task
   // arrives after 3 s.
-  for (int turn = 0; turn < 30 && !is_started; ++turn) {
-    if (turn == 10) {
+  for (int pass = 0; pass < 30 && !is_started; ++pass) {
+    if (pass == 10) {
       jobs::Step large = Bench::OneLongRunningTask();
       large.each = {.cpu_millis = 500, .memory_mb = 3000, .gpus = 0};
       bench.AddJob("large", large);
     }
-    const std::vector<Action> actions = bench.Turn();
+    const std::vector<Action> actions = bench.RunPass();
     bench.Save(Only<SaveProgress>(actions));
     std::vector<StartRun> starts = Only<StartRun>(actions);
     for (const StartRun& more : Only<StartRun>(bench.scheduler.TakeActions()))
@@ -473,7 +473,7 @@
         report.running.push_back({.task = run.task,
                                   .run = run.run,
                                   .checkpoint = "",
-                                  .percent = turn % 100});
+                                  .percent = pass % 100});
       }
       bench.Report(worker, report, bench.now + seconds(4));
     }
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -117,10 +117,10 @@
                    progress, reason == StuckReason::kAdvice);
   }
 
-  // Runs turns of 0.3 s. Boxes that are moved are back at once.
-  void RunTurns(int turns) {
-    for (int i = 0; i < turns; ++i) {
-      const std::vector<Action> actions = this->bench.Turn();
+  // Runs passes 0.3 s apart. Boxes that are moved are back at once.
+  void RunPasses(int passes) {
+    for (int i = 0; i < passes; ++i) {
+      const std::vector<Action> actions = this->bench.RunPass();
       this->bench.Save(Only<SaveProgress>(actions));
       for (const StartRun& start :
            Only<StartRun>(this->bench.scheduler.TakeActions())) {
@@ -163,7 +163,7 @@
 BOOST_AUTO_TEST_CASE(LongRunningTaskOverItsQuotaTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kQuota);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -175,7 +175,7 @@
   step.tasks = 100;
   step.most_per_worker = 1;
   fleet.AddJobTo("pool", "wide", step, "full");
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -185,7 +185,7 @@
 BOOST_AUTO_TEST_CASE(LongRunningTaskWithoutSuitableWorkerTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kLabel);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -195,7 +195,7 @@
 BOOST_AUTO_TEST_CASE(LongRunningTaskLargerThanAnyWorkerTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kSize);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -205,7 +205,7 @@
 BOOST_AUTO_TEST_CASE(LongRunningTaskWithoutAdviceTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kAdvice);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -215,7 +215,7 @@
 BOOST_AUTO_TEST_CASE(GivenUpTaskTakesNoBoxesAndDoesNotWait) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kGivenUp);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
   BOOST_TEST(fleet.Pool("pool").waiting == 0);
@@ -228,12 +228,12 @@
   many.tasks = 20;
   many.each = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
   fleet.AddJobTo("pool", "many", many);
-  fleet.RunTurns(30);
+  fleet.RunPasses(30);
   BOOST_REQUIRE(fleet.starts == 20);
   jobs::Step large = Bench::OneLongRunningTask();
   large.each.memory_mb = 3000;
   fleet.AddJobTo("pool", "large", large);
-  fleet.RunTurns(20);
+  fleet.RunPasses(20);
   BOOST_TEST(fleet.starts == 21);
   BOOST_TEST(fleet.moved["pool"] >= 1);
   BOOST_TEST(fleet.moved["pool"] <= 2);
@@ -263,11 +263,11 @@
       fleet.AddJobTo(pool, "fits-" + pool, step);
       tasks += static_cast<int>(step.tasks);
     }
-    fleet.RunTurns(120);
+    fleet.RunPasses(120);
     RC_ASSERT(fleet.starts == tasks);
     // Stuck tasks may cause a few more moves, but not a steady stream.
     fleet.moved.clear();
-    fleet.RunTurns(40);
+    fleet.RunPasses(40);
     int moved = 0;
     for (const auto& [pool, boxes] : fleet.moved)
       moved += boxes;
--- a/scheduler/suspects_test.cc
+++ b/scheduler/suspects_test.cc
@@ -47,7 +47,7 @@
   progress.MarkLost(suspect, Incarnation("b"), Crash(2, "box-b"));
   bench.scheduler.AddJob(MakeJob("job", queue, spec, progress, bench.now, {}),
                          bench.now);
-  const std::vector<SaveProgress> saves = Only<SaveProgress>(bench.Turn());
+  const std::vector<SaveProgress> saves = Only<SaveProgress>(bench.RunPass());
   bench.Save(saves);
   const auto starts = Only<StartRun>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(starts.size() == 1U);
@@ -94,7 +94,7 @@
     bench.scheduler.PollFailed(Incarnation("w"), CommandOutcome::kUnknown,
                                bench.now);
     bench.now += seconds(8);
-    bench.Turn();
+    bench.RunPass();
     const auto losses = [&] {
       const Job& job = bench.scheduler.all_jobs().at("job");
       const auto found = job.progress.losses.find({.step = {}, .index = 0});
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -26,13 +26,13 @@
                      .ended = {}});
   bench.AddJob("next");
   // The job may have just been accepted, so it is read from the store first.
-  const std::vector<Action> before = bench.Turn();
+  const std::vector<Action> before = bench.RunPass();
   BOOST_TEST(Only<SaveProgress>(before).empty());
   BOOST_TEST(Only<StopRun>(before).empty());
   BOOST_REQUIRE(Only<LoadJob>(before).size() == 1U);
   BOOST_TEST(Only<LoadJob>(before)[0].job == "over");
   bench.scheduler.UnknownJobIsOver("over", bench.now);
-  const std::vector<Action> after = bench.Turn();
+  const std::vector<Action> after = bench.RunPass();
   BOOST_TEST(Only<SaveProgress>(after).empty());
   BOOST_TEST(Only<StopRun>(after).size() == 1U);
   bench.Report("w", {.clock_ms = 0,
@@ -42,7 +42,7 @@
                                 .run = 3,
                                 .reason = RunEndReason::kStopped,
                                 .checkpoint = ""}}});
-  BOOST_TEST(Only<SaveProgress>(bench.Turn()).size() == 1U);
+  BOOST_TEST(Only<SaveProgress>(bench.RunPass()).size() == 1U);
 }
 
 // Guards against a start beyond a worker's capacity when the worker runs tasks
@@ -57,7 +57,7 @@
   large.each.cpu_millis = 2500;
   bench.AddJob("first");
   bench.AddJob("next", large);
-  for (const SaveProgress& save : Only<SaveProgress>(bench.Turn()))
+  for (const SaveProgress& save : Only<SaveProgress>(bench.RunPass()))
     BOOST_TEST(save.job != "next");
   bench.AddJob("second");
   BOOST_TEST(bench.scheduler.FindWorker("w")->free_capacity().cpu_millis ==
@@ -78,10 +78,10 @@
                                        .reason = RunEndReason::kSucceeded,
                                        .checkpoint = ""}}};
   bench.Report("w", report);
-  bench.Turn();
+  bench.RunPass();
   BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 0);
   bench.AddJob("late");
-  const std::vector<Action> actions = bench.Turn();
+  const std::vector<Action> actions = bench.RunPass();
   BOOST_TEST(Only<StartRun>(actions).empty());
   BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 0);
   const auto saves = Only<SaveProgress>(actions);
@@ -93,7 +93,7 @@
                                  .outcome = SaveOutcome::kSaved,
                                  .version = 2},
                                 bench.now);
-  bench.Turn();
+  bench.RunPass();
   BOOST_TEST(bench.scheduler.FindWorker("w")->last_recorded_end == 1);
 }
 
@@ -106,9 +106,9 @@
                                   .checkpoint = "",
                                   .percent = 40}},
                      .ended = {}});
-  bench.Turn();
+  bench.RunPass();
   bench.AddJob("late");
-  const std::vector<Action> actions = bench.Turn();
+  const std::vector<Action> actions = bench.RunPass();
   BOOST_TEST(Only<StartRun>(actions).empty());
   BOOST_TEST(Only<StopRun>(actions).empty());
 }
--- a/scheduler/worker_incarnations_test.cc
+++ b/scheduler/worker_incarnations_test.cc
@@ -117,8 +117,8 @@
                                 .task = before.task,
                                 .run = before.run,
                                 .reason = RunEndReason::kSucceeded}}});
-  bench.Save(Only<SaveProgress>(bench.Turn()));
-  bench.Turn();
+  bench.Save(Only<SaveProgress>(bench.RunPass()));
+  bench.RunPass();
   // The worker restarts, numbers its ends from 1 again, and must not receive an
   // acknowledgement for the earlier incarnation.
   scheduler::WorkerInfo next = Bench::Worker("w");
@@ -132,14 +132,14 @@
                                bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(after, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  for (const PollWorker& poll : Only<PollWorker>(bench.Turn()))
+  for (const PollWorker& poll : Only<PollWorker>(bench.RunPass()))
     BOOST_TEST(poll.acknowledged == 0);
   bench.Report("w", {.incarnation = {.id = "w", .born_ms = kNextBorn},
                      .ended = {{.sequence = 1,
                                 .task = after.task,
                                 .run = after.run,
                                 .reason = RunEndReason::kSucceeded}}});
-  const auto saves = Only<SaveProgress>(bench.Turn());
+  const auto saves = Only<SaveProgress>(bench.RunPass());
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_CHECK(jobs::DecodeProgress(saves[0].text)->state ==
               jobs::JobState::kCompleted);
@@ -171,11 +171,11 @@
                                 bench.now);
   // The poll in flight does not show the start yet.
   bench.Report("w", {});
-  const auto before = Only<PollWorker>(bench.Turn());
+  const auto before = Only<PollWorker>(bench.RunPass());
   BOOST_REQUIRE(before.size() == 1U);
   BOOST_TEST(before[0].acknowledged == 0);
   bench.Report("w", {.running = {{.task = next.task, .run = next.run}}});
-  const auto after = Only<PollWorker>(bench.Turn());
+  const auto after = Only<PollWorker>(bench.RunPass());
   BOOST_REQUIRE(after.size() == 1U);
   BOOST_TEST(after[0].acknowledged == 1);
 }
@@ -195,7 +195,7 @@
                                 bench.now);
   for (int i = 0; i < 4; ++i) {
     for (const scheduler::StopRun& stop :
-         Only<scheduler::StopRun>(bench.Turn()))
+         Only<scheduler::StopRun>(bench.RunPass()))
       bench.scheduler.StopAnswered(stop, scheduler::CommandOutcome::kDone,
                                    bench.now);
     bench.Report("w", {});
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -112,8 +112,8 @@
         this->now, this->now + std::chrono::milliseconds(1150));
   }
 
-  // Advances the time by 300 ms and runs a turn of the scheduler.
-  std::vector<scheduler::Action> Turn() {
+  // Advances the time by 300 ms and runs one scheduling pass.
+  std::vector<scheduler::Action> RunPass() {
     this->now += std::chrono::milliseconds(300);
     this->Confirm();
     this->scheduler.Advance(this->now);
@@ -132,11 +132,11 @@
     }
   }
 
-  // Runs up to eight turns, with all saves succeeding, and returns the first
+  // Runs up to eight passes, with all saves succeeding, and returns the first
   // start; empty if there is none.
   scheduler::StartRun NextStart() {
     for (int i = 0; i < 8; ++i) {
-      const std::vector<scheduler::Action> actions = this->Turn();
+      const std::vector<scheduler::Action> actions = this->RunPass();
       const auto starts = Only<scheduler::StartRun>(actions);
       if (!starts.empty())
         return starts.front();
