--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -228,7 +228,7 @@
 // while another pool takes boxes, no more boxes and tasks are away than the
 // wave and the long-running job allow.
 BOOST_AUTO_TEST_CASE(PausedOwnersKeepDisruptionWithinLimits) {
-  const bool holds = rc::check("no more is away than allowed", [] {
+  const bool holds = rc::check("boxes and tasks away stay within limits", [] {
     ModelJob long_running;
     long_running.id = "lasting";
     long_running.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
--- a/scheduler/unknown_jobs_test.cc
+++ b/scheduler/unknown_jobs_test.cc
@@ -1,4 +1,4 @@
-// Tests of ends and runs that workers list for jobs not read yet.
+// Tests of ends and runs that workers report for jobs not read yet.
 
 #include <string>
 #include <vector>
--- a/scheduler/worker_incarnations_test.cc
+++ b/scheduler/worker_incarnations_test.cc
@@ -230,7 +230,7 @@
 // Guards against giving up long-running tasks for worker losses that did not
 // happen.
 BOOST_AUTO_TEST_CASE(LongRunningTasksSurviveWorkerRestarts) {
-  const bool holds = rc::check("lasting tasks run on", [] {
+  const bool holds = rc::check("long-running tasks run on", [] {
     const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
     const auto model = RunModelWithRestarts(jobs);
     for (const ModelJob& job : jobs) {
