--- a/scheduler/box_planning.cc
+++ b/scheduler/box_planning.cc
@@ -226,10 +226,10 @@
   if (step.may_be_away <= 0)
     return true;
   std::int64_t away = 0;
-  const StepState& runs = StepAt(job->second, PositionOf(id));
-  for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
+  const StepState& step_state = StepAt(job->second, PositionOf(id));
+  for (std::size_t i = 0; i < step_state.tasks.size(); ++i) {
     const bool is_self = static_cast<int>(i) == id.index;
-    away += !is_self && !this->IsKnownToServe(runs.tasks[i], now);
+    away += !is_self && !this->IsKnownToServe(step_state.tasks[i], now);
   }
   return away < step.may_be_away;
 }
@@ -248,16 +248,17 @@
   if (!job || !HasTask(*job, PositionOf(id)))
     return true;
   const jobs::Resources takes = ReservedBy(StepOf(*job, PositionOf(id)));
-  const StepState& runs = StepAt(*job, PositionOf(id));
+  const StepState& step_state = StepAt(*job, PositionOf(id));
   const std::int64_t max_per_box = StepOf(*job, PositionOf(id)).most_per_worker;
   return std::any_of(
       this->workers.begin(), this->workers.end(), [&](const auto& entry) {
         const Worker& worker = entry.second;
-        const auto here = std::count_if(
-            runs.tasks.begin(), runs.tasks.end(), [&](const Task& task) {
-              return task.state == TaskState::kPlaced &&
-                     task.worker == entry.first;
-            });
+        const auto here =
+            std::count_if(step_state.tasks.begin(), step_state.tasks.end(),
+                          [&](const Task& task) {
+                            return task.state == TaskState::kPlaced &&
+                                   task.worker == entry.first;
+                          });
         return worker.info.service == job->queue.service &&
                this->IsUsable(worker, now) &&
                jobs::Fits(takes, worker.free_capacity()) &&
--- a/scheduler/crashes.cc
+++ b/scheduler/crashes.cc
@@ -117,7 +117,7 @@
   if (loss.has_crashed)
     this->GiveUpCrashingTasks(job, now);
   else if (!loss.box.empty())
-    this->open_losses.Add(incarnation, loss.box, job.id);
+    this->unresolved_losses.Add(incarnation, loss.box, job.id);
 }
 
 // Records the loss of a worker that is no longer known, on which an earlier
@@ -171,7 +171,7 @@
     TaskAt(job, position).latest_loss_at = now;
     for (const auto& [incarnation, loss] : losses) {
       if (!loss.has_crashed && !loss.box.empty())
-        this->open_losses.Add(incarnation, loss.box, job.id);
+        this->unresolved_losses.Add(incarnation, loss.box, job.id);
     }
   }
   this->GiveUpCrashingTasks(job, now);
@@ -182,7 +182,7 @@
 // crashes.
 void Scheduler::ResolveLosses(const Worker& worker, base::Micros now) {
   const jobs::WorkerLife& incarnation = worker.info.incarnation;
-  for (const std::string& id : this->open_losses.Remove(incarnation)) {
+  for (const std::string& id : this->unresolved_losses.Remove(incarnation)) {
     Job* job = this->FindJob(id);
     if (!job)
       continue;
@@ -192,8 +192,9 @@
                   [](const auto& entry) { return entry.second.empty(); });
   }
   for (const jobs::WorkerLife& other :
-       this->open_losses.OtherIncarnationsOn(worker.info.box, incarnation)) {
-    for (const std::string& id : this->open_losses.Remove(other)) {
+       this->unresolved_losses.OtherIncarnationsOn(worker.info.box,
+                                                   incarnation)) {
+    for (const std::string& id : this->unresolved_losses.Remove(other)) {
       Job* job = this->FindJob(id);
       if (!job)
         continue;
--- a/scheduler/fleet.cc
+++ b/scheduler/fleet.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-FleetPlanner::FleetPlanner(const FleetTimings& chosen) : limits(chosen) {}
+FleetPlanner::FleetPlanner(const FleetTimings& initial) : timings(initial) {}
 
 void FleetPlanner::Inherit(const MoveBox& call, base::Micros now) {
   this->moves[call.box] = {.pool = call.pool,
@@ -75,7 +75,7 @@
     Maintenance& maintenance = found->second;
     const bool may_be_back =
         now >= maintenance.first_call_at +
-                   MinTimeAway(this->limits.maintenance_duration);
+                   MinTimeAway(this->timings.maintenance_duration);
     if (maintenance.state == MaintenanceState::kDown && may_be_back &&
         jobs::IsOtherLife(maintenance.worker_before_call, worker))
       maintenance.state = MaintenanceState::kDone;
@@ -86,7 +86,7 @@
     return;
   const bool may_be_back = pool == move->second.pool &&
                            now >= move->second.first_call_at +
-                                      MinTimeAway(this->limits.move_duration);
+                                      MinTimeAway(this->timings.move_duration);
   if (!may_be_back)
     return;
   if (move->second.done)
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -118,7 +118,7 @@
 
 class FleetPlanner {
  public:
-  explicit FleetPlanner(const FleetTimings& limits);
+  explicit FleetPlanner(const FleetTimings& initial);
 
   // `begun`: boxes whose maintenance a previous owner recorded as started.
   void SetWave(const Wave& wave,
@@ -255,7 +255,7 @@
                        double short_cores);
   bool IsInMaintenance(const std::string& box) const;
 
-  FleetTimings limits;
+  FleetTimings timings;
   std::map<int, WaveProgress> waves;
   std::map<std::string, Move> moves;  // by box, until it serves the new pool
   // Busy boxes that a pool short of cores needs more. Nothing new is placed on
--- a/scheduler/fleet_waves.cc
+++ b/scheduler/fleet_waves.cc
@@ -71,7 +71,7 @@
       const bool back =
           !is_removed && found->second.state == BoxState::kUp &&
           maintenance.state == MaintenanceState::kDown &&
-          asked > maintenance.since + this->limits.maintenance_duration;
+          asked > maintenance.since + this->timings.maintenance_duration;
       if (is_removed || back)
         maintenance.state = MaintenanceState::kDone;
       // Without a recorded start, the list may show that it was started.
@@ -106,7 +106,7 @@
         const Maintenance& maintenance = found->second;
         const bool is_recently_done =
             maintenance.state == MaintenanceState::kDone &&
-            asked < maintenance.since + this->limits.maintenance_duration +
+            asked < maintenance.since + this->timings.maintenance_duration +
                         kMaxListAge;
         return maintenance.state == MaintenanceState::kRequested ||
                maintenance.state == MaintenanceState::kDown || is_recently_done;
--- a/scheduler/placement.cc
+++ b/scheduler/placement.cc
@@ -62,9 +62,11 @@
           .gpus = step.each.gpus * step.tasks};
 }
 
-std::string TicketFor(const StepState& runs, const jobs::WorkerLife& worker) {
-  const auto found = runs.advice.tickets.find(worker);
-  return found == runs.advice.tickets.end() ? std::string() : found->second;
+std::string TicketFor(const StepState& step_state,
+                      const jobs::WorkerLife& worker) {
+  const auto found = step_state.advice.tickets.find(worker);
+  return found == step_state.advice.tickets.end() ? std::string()
+                                                  : found->second;
 }
 
 double Utilization(const Worker& worker) {
@@ -87,11 +89,11 @@
 class StepDistribution {
  public:
   StepDistribution(const jobs::Step& step,
-                   const StepState& runs,
+                   const StepState& step_state,
                    const std::map<jobs::WorkerLife, Worker>& workers) {
     if (!step.lasting && step.most_per_worker == 0)
       return;
-    for (const Task& task : runs.tasks) {
+    for (const Task& task : step_state.tasks) {
       if (task.state != TaskState::kPlaced)
         continue;
       ++this->per_worker[task.worker];
@@ -175,11 +177,11 @@
 // unless the store has confirmed this ownership since.
 bool Scheduler::LeaseMayHaveBeenRenewed(const Job& job,
                                         const TaskPosition& position) const {
-  const StepState& runs = StepAt(job, position);
+  const StepState& step_state = StepAt(job, position);
   const bool gang = StepOf(job, position).gang;
-  for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
+  for (std::size_t i = 0; i < step_state.tasks.size(); ++i) {
     const bool counts = gang || static_cast<int>(i) == position.index;
-    if (counts && runs.tasks[i].lease_expired_at > this->confirmed_at)
+    if (counts && step_state.tasks[i].lease_expired_at > this->confirmed_at)
       return true;
   }
   return false;
@@ -187,14 +189,15 @@
 
 int Scheduler::NextRunNumber(const Job& job,
                              const TaskPosition& position) const {
-  const StepState& runs = StepAt(job, position);
+  const StepState& step_state = StepAt(job, position);
   int newest = 0;
   // The members of a gang share the run number.
   if (StepOf(job, position).gang) {
-    for (const Task& task : runs.tasks)
+    for (const Task& task : step_state.tasks)
       newest = std::max(newest, task.latest_run);
   } else {
-    newest = runs.tasks[static_cast<std::size_t>(position.index)].latest_run;
+    newest =
+        step_state.tasks[static_cast<std::size_t>(position.index)].latest_run;
   }
   const auto first =
       static_cast<int>((this->limits.epoch - 1) * kRunsPerEpoch) + 1;
@@ -322,17 +325,17 @@
     const std::vector<Worker*>& candidates,
     base::Micros now) const {
   const jobs::Step& step = StepOf(job, position);
-  const StepState& runs = StepAt(job, position);
+  const StepState& step_state = StepAt(job, position);
   const jobs::Resources takes = ReservedBy(step);
-  const StepDistribution distribution(step, runs, this->workers);
+  const StepDistribution distribution(step, step_state, this->workers);
   std::vector<Assignment> choices;
   // For the gang members chosen so far.
   std::map<const Worker*, GangAllocation> allocations;
   const int first = step.gang ? 0 : position.index;
-  const int last =
-      step.gang ? static_cast<int>(runs.tasks.size()) - 1 : position.index;
+  const int last = step.gang ? static_cast<int>(step_state.tasks.size()) - 1
+                             : position.index;
   for (int i = first; i <= last; ++i) {
-    const Task& task = runs.tasks[static_cast<std::size_t>(i)];
+    const Task& task = step_state.tasks[static_cast<std::size_t>(i)];
     if (task.state != TaskState::kReady)
       continue;
     const TaskPosition member{
@@ -363,7 +366,7 @@
       if (conflicts_with_probe)
         continue;
       if (job.queue.advice.required &&
-          !runs.advice.tickets.contains(worker->info.incarnation))
+          !step_state.advice.tickets.contains(worker->info.incarnation))
         continue;
       if (step.most_per_worker > 0 &&
           distribution.CountOnWorker(*worker) + allocated.members >=
--- a/scheduler/run_ends.cc
+++ b/scheduler/run_ends.cc
@@ -113,14 +113,14 @@
   const jobs::StepKey key{.occurrence = position.occurrence,
                           .step = position.step};
   const jobs::Step& step = StepOf(job, position);
-  StepState& runs = StepAt(job, position);
+  StepState& step_state = StepAt(job, position);
   // The completion of one gang member completes all of them.
   const int first = step.gang ? 0 : position.index;
-  const int last =
-      step.gang ? static_cast<int>(runs.tasks.size()) - 1 : position.index;
+  const int last = step.gang ? static_cast<int>(step_state.tasks.size()) - 1
+                             : position.index;
   bool has_changed = false;
   for (int i = first; i <= last; ++i) {
-    Task& task = runs.tasks[static_cast<std::size_t>(i)];
+    Task& task = step_state.tasks[static_cast<std::size_t>(i)];
     if (task.state == TaskState::kDone)
       continue;
     has_changed = true;
@@ -136,7 +136,7 @@
                                                 .run = task.run};
     }
     task.state = TaskState::kDone;
-    ++runs.tasks_done;
+    ++step_state.tasks_done;
     job.progress.MarkDone(key, i);
   }
   if (!has_changed || job.finished())
@@ -204,13 +204,13 @@
     return;
   }
   // A gang is placed again as a whole, once none of its members is placed.
-  StepState& runs = StepAt(*job, position);
+  StepState& step_state = StepAt(*job, position);
   bool any_placed = false;
-  for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
-    if (runs.tasks[i].state != TaskState::kPlaced)
+  for (std::size_t i = 0; i < step_state.tasks.size(); ++i) {
+    if (step_state.tasks[i].state != TaskState::kPlaced)
       continue;
     any_placed = true;
-    const auto worker = this->workers.find(runs.tasks[i].worker);
+    const auto worker = this->workers.find(step_state.tasks[i].worker);
     const jobs::TaskId member{.job = id.job,
                               .occurrence = id.occurrence,
                               .step = id.step,
--- a/scheduler/scheduler.h
+++ b/scheduler/scheduler.h
@@ -420,7 +420,7 @@
   std::unordered_map<std::string, Job> jobs;
   std::map<std::string, UnknownJob> unknown_jobs;
   std::map<std::string, ReadyTasks> ready;  // by service
-  UnresolvedLosses open_losses;
+  UnresolvedLosses unresolved_losses;
   std::set<std::string> jobs_to_save;    // jobs with unsaved progress
   std::set<std::string> repeating_jobs;  // jobs with future repeats
   RunTimes run_times;
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -254,7 +254,7 @@
   void ChangeCapacity(const std::string& id, const jobs::Resources& capacity);
   void EndRun(Worker& worker,
               const jobs::TaskId& task,
-              scheduler::RunEndReason how);
+              scheduler::RunEndReason reason);
   void AdvanceRuns(Worker& worker);
   void AcknowledgeEnds(Worker& worker, std::int64_t acknowledged);
   // Called for a start or a poll, both of which grant a lease.
--- a/testing/scheduler_model_workers.cc
+++ b/testing/scheduler_model_workers.cc
@@ -216,21 +216,21 @@
 
 void SchedulerModel::EndRun(Worker& worker,
                             const jobs::TaskId& task,
-                            scheduler::RunEndReason how) {
+                            scheduler::RunEndReason reason) {
   const auto found = worker.running.find(task);
   const int number = found->second.number;
-  this->LogEvent(fmt::format("{}: {} {}.{} run {} ends {}", worker.id, task.job,
-                             task.step, task.index, number,
-                             base::NameOf(scheduler::kRunEndReasonNames, how)));
+  this->LogEvent(fmt::format(
+      "{}: {} {}.{} run {} ends {}", worker.id, task.job, task.step, task.index,
+      number, base::NameOf(scheduler::kRunEndReasonNames, reason)));
   worker.running.erase(found);
   int& over = worker.highest_over_run[task];
   over = std::max(over, number);
   worker.ends.push_back({.sequence = ++worker.last_number,
                          .task = task,
                          .run = number,
-                         .reason = how,
+                         .reason = reason,
                          .checkpoint = ""});
-  if (how == scheduler::RunEndReason::kSucceeded)
+  if (reason == scheduler::RunEndReason::kSucceeded)
     this->jobs.at(task.job).ever_done.insert(scheduler::PositionOf(task));
 }
 
@@ -246,8 +246,8 @@
       over.emplace_back(task, run.fails ? scheduler::RunEndReason::kFailed
                                         : scheduler::RunEndReason::kSucceeded);
   }
-  for (const auto& [task, how] : over)
-    this->EndRun(worker, task, how);
+  for (const auto& [task, reason] : over)
+    this->EndRun(worker, task, reason);
 }
 
 // Called when the worker learns that ends up to this number are recorded.
