--- a/entry/box_calls_test.cc
+++ b/entry/box_calls_test.cc
@@ -81,16 +81,16 @@
   Owner first(bench, 1);
   BOOST_REQUIRE(first.ClaimsRow());
   BOOST_TEST(first.inherited.empty());
-  first.calls.Add(
-      scheduler::MoveBox{.box = "a", .pool = "pool", .life = {.id = "a-1"}});
-  first.calls.Add(
-      scheduler::MaintainBox{.box = "b", .wave = 7, .life = {.id = "b-1"}});
+  first.calls.Add(scheduler::MoveBox{
+      .box = "a", .pool = "pool", .incarnation = {.id = "a-1"}});
+  first.calls.Add(scheduler::MaintainBox{
+      .box = "b", .wave = 7, .incarnation = {.id = "b-1"}});
   BOOST_REQUIRE(first.RecordsCalls(2));
   Owner next(bench, 2);
   BOOST_REQUIRE(next.ClaimsRow());
   BOOST_TEST(next.inherited == kBothBoxes);
-  first.calls.Add(
-      scheduler::MaintainBox{.box = "c", .wave = 7, .life = {.id = "c-1"}});
+  first.calls.Add(scheduler::MaintainBox{
+      .box = "c", .wave = 7, .incarnation = {.id = "c-1"}});
   BOOST_TEST(first.SyncUntil([&] { return first.fenced; }));
   BOOST_TEST(first.recorded.size() == 2U);
   // The third owner inherits the calls that the second has not settled.
@@ -104,7 +104,8 @@
   StoreBench bench;
   Owner first(bench, 1);
   BOOST_REQUIRE(first.ClaimsRow());
-  first.calls.Add(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
+  first.calls.Add(
+      scheduler::MoveBox{.box = "a", .pool = "pool", .incarnation = {}});
   BOOST_REQUIRE(first.RecordsCalls(1));
   first.calls_are_open = false;
   const platform::RowKey row = ShardRowKey(kBoxCallTable, kBoxCallKey, {});
@@ -123,8 +124,10 @@
   BOOST_REQUIRE(owner.ClaimsRow());
   bench.standin.SetNextWrites(
       {Mood::kLosesAnswers, Mood::kBusy, Mood::kCuts, Mood::kLosesAnswers});
-  owner.calls.Add(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
-  owner.calls.Add(scheduler::MoveBox{.box = "b", .pool = "pool", .life = {}});
+  owner.calls.Add(
+      scheduler::MoveBox{.box = "a", .pool = "pool", .incarnation = {}});
+  owner.calls.Add(
+      scheduler::MoveBox{.box = "b", .pool = "pool", .incarnation = {}});
   BOOST_TEST(owner.RecordsCalls(2));
   BOOST_TEST(owner.recorded == kBothBoxes);
   BOOST_TEST(!owner.fenced);
@@ -137,7 +140,8 @@
   bench.standin.SetMood(StoreStandin::Mood::kLosesAnswers);
   Owner owner(bench, 1);
   BOOST_REQUIRE(owner.ClaimsRow());
-  owner.calls.Add(scheduler::MoveBox{.box = "a", .pool = "pool", .life = {}});
+  owner.calls.Add(
+      scheduler::MoveBox{.box = "a", .pool = "pool", .incarnation = {}});
   BOOST_TEST(owner.RecordsCalls(1));
 }
 
--- a/entry/manager.cc
+++ b/entry/manager.cc
@@ -60,7 +60,7 @@
   limits.max_stop_time = settings.max_stop_time;
   limits.epoch = epoch;
   limits.fleet = {.move_duration = settings.move_duration,
-                  .upkeep_duration = settings.upkeep_duration};
+                  .maintenance_duration = settings.upkeep_duration};
   return limits;
 }
 
@@ -199,7 +199,7 @@
                this->confirmed_at + this->MaxLeaseAfterConfirmation());
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
     const std::int64_t deadline = this->scheduler.LeaseDeadline(id, end);
-    const bool can_extend = worker.has_listing && worker.is_lease_recorded &&
+    const bool can_extend = worker.has_reported && worker.is_lease_recorded &&
                             !worker.idle() && worker.failed_calls == 0 &&
                             deadline > 0;
     if (!can_extend)
--- a/entry/manager_records.cc
+++ b/entry/manager_records.cc
@@ -169,11 +169,11 @@
 LeaseRecord ShardManager::MakeLeaseRecord(base::Micros now) const {
   LeaseRecord record{.epoch = this->epoch, .workers = {}};
   for (const auto& [id, worker] : this->scheduler.all_workers()) {
-    if (!worker.has_listing && worker.latest_lease_end <= now)
+    if (!worker.has_reported && worker.latest_lease_end <= now)
       continue;
     record.workers.push_back(
         {.worker = worker.info,
-         .held = worker.has_listing,
+         .held = worker.has_reported,
          .expires_store_ms = this->store.StoreMillis(worker.latest_lease_end)});
   }
   return record;
@@ -184,7 +184,7 @@
   RecordedWorkers recorded;
   for (const LeaseHolder& holder : record.workers)
     (holder.held ? recorded.held : recorded.inherited)
-        .push_back(holder.worker.life);
+        .push_back(holder.worker.incarnation);
   return recorded;
 }
 
@@ -304,7 +304,7 @@
                                {"born_ms", id.start_ms},
                                {"box", worker.info.box},
                                {"pool", worker.info.service},
-                               {"listed", worker.has_listing},
+                               {"listed", worker.has_reported},
                                {"failed_calls", worker.failed_calls},
                                {"failure_rate", worker.failure_rate},
                                {"runs", std::move(runs)}});
--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -85,14 +85,15 @@
 struct MoveBox {
   std::string box;
   std::string pool;
-  jobs::WorkerIncarnation life;  // on the box at decision time; empty if none
+  jobs::WorkerIncarnation
+      incarnation;  // on the box at decision time; empty if none
   BoxCallContext context;
 };
 
 struct MaintainBox {
   std::string box;
   int wave = 0;
-  jobs::WorkerIncarnation life;  // as above
+  jobs::WorkerIncarnation incarnation;  // as above
   BoxCallContext context;
 };
 
--- a/scheduler/evacuation.cc
+++ b/scheduler/box_planning.cc
@@ -12,23 +12,21 @@
 
 using std::chrono::milliseconds;
 
-// Interval between planning rounds. 100 ms made no measurable difference in 20
-// test days with faults (49 workers).
+// Interval between planning rounds; 100 ms made no measurable difference.
 constexpr base::Micros kPlanInterval = milliseconds(250);
 
-// Maximum age of a listing that shows a long-running task at work. Above the
-// long-poll wait of a listing call (2 s), below the time after which the sites
-// count a silent task as away (4.5 s).
-constexpr base::Micros kMaxListingAge = milliseconds(3000);
+// Maximum age of a report that shows a long-running task at work. Above the
+// longest wait of a poll (2 s), below the time after which the sites count a
+// silent task as away (4.5 s).
+constexpr base::Micros kMaxReportAge = milliseconds(3000);
 
-// Weight of the arrival trend in a pool's expected demand. With 4, 80.4% of the
-// work, weighted by value, was on time over ten test days with faults, and
-// 78.8% with 2 (49 workers); over six such days 85.0% and 84.4% (350 workers).
+// Weight of the arrival trend in a pool's expected demand. With 2 instead
+// of 4, less of the work by value was on time (78.8% instead of 80.4%).
 constexpr double kTrendWeight = 4.0;
 
-// A task that has waited this long for room is taken to fit on none of its
+// A task that has waited this long for capacity is taken to fit on none of its
 // pool's boxes, for lack of memory or because of limits on tasks per box.
-// Longer than a scheduling turn plus a planning round (0.3 s); short enough for
+// Longer than a scheduling pass plus a planning round (0.3 s); short enough for
 // long-running tasks to run again within the required 6 s.
 constexpr base::Micros kStuckAfter = milliseconds(1000);
 // Above this utilization a pool is short of cores and gets boxes on that
@@ -56,12 +54,12 @@
     // another owner: only an answer from the worker shows that the box is
     // empty.
     box.available = worker.is_announced && worker.is_described &&
-                    worker.has_listing && !worker.info.draining &&
+                    worker.has_reported && !worker.info.draining &&
                     !worker.runs_presumed_over;
     box.idle = worker.idle();
     box.cores = static_cast<double>(worker.info.capacity.cpu_millis) / 1000.0;
     box.busy_cores = static_cast<double>(worker.used.cpu_millis) / 1000.0;
-    box.long_running_tasks = worker.lasting_runs;
+    box.long_running_tasks = worker.long_running_tasks;
     for (const auto& [task, run] : worker.runs) {
       demand_by_pool[box.pool][this->PriorityOf(task)].current_cores +=
           static_cast<double>(run.reserved.cpu_millis) / 1000.0;
@@ -70,8 +68,8 @@
   }
   for (const auto& [service, tasks] : this->ready) {
     for (const ReadyTask& task : tasks) {
-      const jobs::Step& step = StepOf(*task.job, task.place);
-      if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.place)))
+      const jobs::Step& step = StepOf(*task.job, task.position);
+      if (!step.fills && CountsAsDemand(TaskAt(*task.job, task.position)))
         demand_by_pool[service][task.priority].current_cores +=
             static_cast<double>(step.task_resources.cpu_millis) / 1000.0;
     }
@@ -108,9 +106,10 @@
         const std::vector<Task>& all = occurrence.steps[s].tasks;
         const std::int64_t tasks =
             std::count_if(all.begin(), all.end(), CountsAsDemand);
-        const std::int64_t most = step.max_per_worker;
-        const std::int64_t boxes = most > 0 ? (tasks + most - 1) / most
-                                            : std::min<std::int64_t>(tasks, 1);
+        const std::int64_t max_per_box = step.max_per_worker;
+        const std::int64_t boxes = max_per_box > 0
+                                       ? (tasks + max_per_box - 1) / max_per_box
+                                       : std::min<std::int64_t>(tasks, 1);
         int& known = min_boxes[job.queue.service];
         known = std::max(known, static_cast<int>(boxes));
       }
@@ -122,7 +121,7 @@
 bool Scheduler::IsStuck(const ReadyTask& task,
                         bool has_cores,
                         base::Micros now) const {
-  const Task& waiting = TaskAt(*task.job, task.place);
+  const Task& waiting = TaskAt(*task.job, task.position);
   return waiting.state == TaskState::kReady &&
          waiting.wait_reason == WaitReason::kCapacity &&
          now - waiting.ready_since > kStuckAfter &&
@@ -133,9 +132,9 @@
 // cores, which core demand does not show, to one box more than they have.
 void Scheduler::AddBoxesForStuckTasks(base::Micros now,
                                       const FleetView& view,
-                                      std::map<std::string, int>& least) {
+                                      std::map<std::string, int>& min_boxes) {
   std::map<std::string, int> idle;
-  for (const auto& [life, worker] : this->workers)
+  for (const auto& [incarnation, worker] : this->workers)
     idle[worker.info.service] += worker.idle() && this->IsUsable(worker, now);
   for (const auto& [service, tasks] : this->ready) {
     int boxes = 0;
@@ -159,7 +158,7 @@
     }
     const int requested =
         this->box_requests.MinBoxes(service, boxes, idle[service], now);
-    least[service] = std::max(least[service], requested);
+    min_boxes[service] = std::max(min_boxes[service], requested);
   }
 }
 
@@ -173,7 +172,7 @@
                         base::Micros now) {
   this->fleet.SetWave(wave, begun, now);
   for (const auto& [id, worker] : this->workers) {
-    if (worker.has_listing)
+    if (worker.has_reported)
       this->fleet.OnBoxAnswered(worker.info.box);
   }
 }
@@ -190,31 +189,31 @@
     std::visit([&](const auto& one) { this->fleet.Inherit(one, now); }, call);
 }
 
-void Scheduler::MoveAnswered(const MoveBox& order,
+void Scheduler::MoveAnswered(const MoveBox& command,
                              BoxCallOutcome outcome,
                              base::Micros now) {
-  this->fleet.OnMoveOutcome(order, outcome, now);
+  this->fleet.OnMoveOutcome(command, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
-    this->ReclaimBox(order.box, now);
+    this->ReclaimBox(command.box, now);
 }
 
-void Scheduler::MaintenanceAnswered(const MaintainBox& order,
+void Scheduler::MaintenanceAnswered(const MaintainBox& command,
                                     BoxCallOutcome outcome,
                                     base::Micros now) {
-  this->fleet.OnUpkeepOutcome(order, outcome, now);
+  this->fleet.OnMaintenanceOutcome(command, outcome, now);
   if (outcome == BoxCallOutcome::kFenced)
     this->is_fenced = true;
   if (outcome == BoxCallOutcome::kDone)
-    this->ReclaimBox(order.box, now);
+    this->ReclaimBox(command.box, now);
 }
 
 // All runs on the box have ended once the platform has taken it.
 void Scheduler::ReclaimBox(const std::string& box, base::Micros now) {
-  const jobs::WorkerIncarnation life = this->fleet.WorkerBeforeCall(box);
-  if (!life.empty())
-    this->EndIncarnation(life, LossReason::kBoxReclaimed, now);
+  const jobs::WorkerIncarnation incarnation = this->fleet.WorkerBeforeCall(box);
+  if (!incarnation.empty())
+    this->EndIncarnation(incarnation, LossReason::kBoxReclaimed, now);
 }
 
 // A long-running task may be interrupted while fewer of the step's other tasks
@@ -227,42 +226,43 @@
   if (step.max_unavailable <= 0)
     return true;
   std::int64_t away = 0;
-  const StepState& runs = StepAt(job->second, PositionOf(id));
-  for (std::size_t i = 0; i < runs.tasks.size(); ++i) {
+  const StepState& step_state = StepAt(job->second, PositionOf(id));
+  for (std::size_t i = 0; i < step_state.tasks.size(); ++i) {
     const bool is_self = static_cast<int>(i) == id.index;
-    away += !is_self && !this->IsKnownToServe(runs.tasks[i], now);
+    away += !is_self && !this->IsKnownToServe(step_state.tasks[i], now);
   }
   return away < step.max_unavailable;
 }
 
-// Requires a recent listing, since the worker may have died after an older one.
+// Requires a recent report, since the worker may have died after an older one.
 bool Scheduler::IsKnownToServe(const Task& task, base::Micros now) const {
   const auto worker = this->workers.find(task.worker);
   return task.is_serving && worker != this->workers.end() &&
          worker->second.failed_calls == 0 &&
-         now - worker->second.last_answer_at < kMaxListingAge;
+         now - worker->second.last_answer_at < kMaxReportAge;
 }
 
-// A task is only interrupted if another worker has room for it.
+// A task is only interrupted if another worker has capacity for it.
 bool Scheduler::CanRunElsewhere(const jobs::TaskId& id, base::Micros now) {
   const Job* job = this->FindJob(id.job);
   if (!job || !HasTask(*job, PositionOf(id)))
     return true;
   const jobs::Resources takes = ReservedBy(StepOf(*job, PositionOf(id)));
-  const StepState& runs = StepAt(*job, PositionOf(id));
-  const std::int64_t most = StepOf(*job, PositionOf(id)).max_per_worker;
+  const StepState& step_state = StepAt(*job, PositionOf(id));
+  const std::int64_t max_per_box = StepOf(*job, PositionOf(id)).max_per_worker;
   return std::any_of(
       this->workers.begin(), this->workers.end(), [&](const auto& entry) {
         const Worker& worker = entry.second;
-        const auto here = std::count_if(
-            runs.tasks.begin(), runs.tasks.end(), [&](const Task& task) {
-              return task.state == TaskState::kPlaced &&
-                     task.worker == entry.first;
-            });
+        const auto here =
+            std::count_if(step_state.tasks.begin(), step_state.tasks.end(),
+                          [&](const Task& task) {
+                            return task.state == TaskState::kPlaced &&
+                                   task.worker == entry.first;
+                          });
         return worker.info.service == job->queue.service &&
                this->IsUsable(worker, now) &&
                jobs::Fits(takes, worker.free_capacity()) &&
-               (most == 0 || here < most);
+               (max_per_box == 0 || here < max_per_box);
       });
 }
 
@@ -271,11 +271,12 @@
     if (worker.info.box != box)
       continue;
     for (auto& [task, run] : worker.runs) {
-      const bool movable = run.lasting && run.state == RunState::kRunning;
+      const bool movable =
+          run.is_long_running && run.state == RunState::kRunning;
       if (!movable || !this->MayInterrupt(task, now) ||
           !this->CanRunElsewhere(task, now))
         continue;
-      // Counts as away at once, before the worker lists its end.
+      // Counts as away at once, before the worker reports its end.
       Job* job = this->FindJob(task.job);
       if (job && HasTask(*job, PositionOf(task)))
         TaskAt(*job, PositionOf(task)).is_serving = false;
@@ -286,16 +287,16 @@
 
 BoxCallContext Scheduler::BoxCallContextOf(const std::string& box,
                                            base::Micros now) const {
-  BoxCallContext evidence{.confirmed_ago = now - this->confirmed_at,
-                          .last_answer_ago = base::Micros(-1)};
+  BoxCallContext context{.confirmed_ago = now - this->confirmed_at,
+                         .last_answer_ago = base::Micros(-1)};
   for (const auto& [id, worker] : this->workers) {
     if (worker.info.box != box)
       continue;
-    if (worker.has_listing)
-      evidence.last_answer_ago = now - worker.last_answer_at;
-    evidence.runs_presumed_over = worker.runs_presumed_over;
+    if (worker.has_reported)
+      context.last_answer_ago = now - worker.last_answer_at;
+    context.runs_presumed_over = worker.runs_presumed_over;
   }
-  return evidence;
+  return context;
 }
 
 void Scheduler::RunFleet(base::Micros now) {
@@ -308,9 +309,9 @@
     } else if (auto* move = std::get_if<MoveBox>(&action)) {
       move->context = this->BoxCallContextOf(move->box, now);
       this->actions.emplace_back(std::move(*move));
-    } else if (auto* upkeep = std::get_if<MaintainBox>(&action)) {
-      upkeep->context = this->BoxCallContextOf(upkeep->box, now);
-      this->actions.emplace_back(std::move(*upkeep));
+    } else if (auto* maintenance = std::get_if<MaintainBox>(&action)) {
+      maintenance->context = this->BoxCallContextOf(maintenance->box, now);
+      this->actions.emplace_back(std::move(*maintenance));
     } else if (const auto* report = std::get_if<ReportWave>(&action)) {
       this->actions.emplace_back(*report);
     }
--- a/scheduler/capacity_test.cc
+++ b/scheduler/capacity_test.cc
@@ -21,17 +21,17 @@
 }
 
 // Guards against overcommitting a worker: its capacity shrank while a placement
-// was being saved, and the start order was sent anyway.
-BOOST_AUTO_TEST_CASE(PlanThatDoesNotFitAnyMoreIsNotStarted) {
+// was being saved, and the start command was sent anyway.
+BOOST_AUTO_TEST_CASE(PlannedRunIsNotStartedIfCapacityShrank) {
   Bench bench(1);
   for (const char* id : {"a", "b"}) {
     bench.scheduler.UpdateWorker(Bench::Worker(id), bench.now);
-    bench.List(id, {});
+    bench.Report(id, {});
   }
   bench.AddJob("job");
   std::vector<SaveProgress> saves;
   while (saves.empty())
-    saves = Only<SaveProgress>(bench.Turn());
+    saves = Only<SaveProgress>(bench.RunPass());
   const std::string planned =
       bench.scheduler.FindWorker("a")->idle() ? "b" : "a";
   bench.scheduler.UpdateWorker(WithCores(planned, 500), bench.now);
@@ -44,10 +44,10 @@
 
 // When a worker's capacity shrinks below its usage, the current runs go on and
 // no new ones start until the capacity has grown again.
-BOOST_AUTO_TEST_CASE(RoomThatShrankTakesNothingUntilItFits) {
+BOOST_AUTO_TEST_CASE(OvercommittedWorkerGetsNoRunsUntilCapacityGrows) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("first");
   const StartRun first = bench.NextStart();
   bench.scheduler.StartAnswered(first, CommandOutcome::kDone, bench.now);
@@ -59,13 +59,13 @@
                                           .checkpoint = "",
                                           .percent = 50}},
                              .ended = {}};
-  bench.List("w", running);
-  for (int turn = 0; turn < 5; ++turn) {
-    const std::vector<Action> actions = bench.Turn();
+  bench.Report("w", running);
+  for (int pass = 0; pass < 5; ++pass) {
+    const std::vector<Action> actions = bench.RunPass();
     BOOST_TEST(Only<StartRun>(actions).empty());
     BOOST_TEST(Only<StopRun>(actions).empty());
     bench.Save(Only<SaveProgress>(actions));
-    bench.List("w", running);
+    bench.Report("w", running);
   }
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
   BOOST_TEST(bench.NextStart().task.job == "second");
--- a/scheduler/crashes_test.cc
+++ b/scheduler/crashes_test.cc
@@ -57,7 +57,7 @@
 
 // Guards against owners that count only the crashes they saw themselves: each
 // owner sees one or two, and none sees three.
-BOOST_AUTO_TEST_CASE(CrashesThatEarlierOwnersSawCount) {
+BOOST_AUTO_TEST_CASE(CrashesRecordedByEarlierOwnersCount) {
   ModelJob crashing_job = MakeJob("crashing", 1);
   crashing_job.crashing = {{.occurrence = 0, .step = 0, .index = 0}};
   SchedulerModel model(1, {}, 5, {crashing_job, MakeJob("other", 5)});
@@ -71,14 +71,15 @@
   BOOST_TEST(model.crashed_workers() <= 3);
 }
 
-// Only one task of the lasting job may be away at a time. The task that crashes
-// its workers is given up, and the other tasks must not be stopped for it.
-BOOST_AUTO_TEST_CASE(LastingTasksBesideACrashingOneServeOn) {
-  ModelJob lasting = MakeJob("lasting", 4);
-  lasting.spec.steps[0].long_running = true;
-  lasting.spec.steps[0].max_unavailable = 1;
-  lasting.crashing = {{.occurrence = 0, .step = 0, .index = 2}};
-  SchedulerModel model(1, {}, 6, {lasting});
+// Only one task of the long-running job may be away at a time. The task that
+// crashes its workers is given up, and the other tasks must not be stopped for
+// it.
+BOOST_AUTO_TEST_CASE(LongRunningTasksKeepServingBesideCrashingTask) {
+  ModelJob long_running = MakeJob("lasting", 4);
+  long_running.spec.steps[0].long_running = true;
+  long_running.spec.steps[0].max_unavailable = 1;
+  long_running.crashing = {{.occurrence = 0, .step = 0, .index = 2}};
+  SchedulerModel model(1, {}, 6, {long_running});
   model.RunFor(seconds(40));
   model.TakeOver();
   model.RunFor(seconds(10));
@@ -89,7 +90,7 @@
 
 // The limit on starts of crashing tasks holds with takeovers, paused or
 // partitioned owners, lost answers and saves, and unrelated worker crashes.
-BOOST_AUTO_TEST_CASE(CrashingTasksAreStartedNoMoreThanTheyMay) {
+BOOST_AUTO_TEST_CASE(CrashingTaskStartsStayWithinLimit) {
   const bool holds = rc::check("crashing tasks are given up in time", [] {
     const auto odds = [](int max_per_mille) {
       return *rc::gen::inRange(0, max_per_mille) / 1000.0;
@@ -107,8 +108,8 @@
     }
     ModelFaults faults;
     faults.lost_answer = odds(150);
-    faults.lost_order = odds(100);
-    faults.late_order = odds(50);
+    faults.lost_command = odds(100);
+    faults.late_command = odds(50);
     faults.lost_save = odds(200);
     faults.late_save = odds(100);
     faults.crash = odds(100);
@@ -147,7 +148,7 @@
 
 // Guards against giving up tasks that were lost together with a crashing one,
 // also across takeovers.
-BOOST_AUTO_TEST_CASE(CompanyOfCrashingTasksIsNotGivenUp) {
+BOOST_AUTO_TEST_CASE(TasksLostWithCrashingTaskAreNotGivenUp) {
   const bool holds = rc::check("jobs without crashing tasks are completed", [] {
     std::vector<ModelJob> jobs;
     for (int i = 0; i < 8; ++i) {
--- a/scheduler/fleet.h
+++ b/scheduler/fleet.h
@@ -1,6 +1,6 @@
-// Plans box moves between pools and maintenance waves (box upkeep). Both are
-// planned together so that they never compete for the same box. The planner is
-// pure state: it takes views of the fleet and returns actions.
+// Plans box moves between pools and maintenance waves. Both are planned
+// together so that they never compete for the same box. The planner is pure
+// state: it takes views of the fleet and returns actions.
 
 #ifndef SCHEDULER_FLEET_H_
 #define SCHEDULER_FLEET_H_
@@ -20,11 +20,11 @@
 namespace quartzhoist::scheduler {
 
 struct FleetTimings {
-  base::Micros move_duration{};    // from the call until the box serves
-  base::Micros upkeep_duration{};  // from the call until the box is back
+  base::Micros move_duration{};         // from the call until the box serves
+  base::Micros maintenance_duration{};  // from the call until the box is back
 };
 
-// Result of a platform call that moves a box or starts its upkeep.
+// Result of a platform call that moves a box or starts its maintenance.
 enum class BoxCallOutcome {
   kDone,
   kNotSent,    // not carried out, and will not be
@@ -77,7 +77,7 @@
   std::string pool;
   int boxes = 0;    // that have a worker
   int usable = 0;   // of them, those that accept further tasks
-  int leaving = 0;  // moving, selected to move, or in upkeep
+  int leaving = 0;  // moving, selected to move, or in maintenance
   int idle = 0;
   int pinned = 0;  // hold long-running tasks
   double busy_cores = 0.0;
@@ -118,9 +118,9 @@
 
 class FleetPlanner {
  public:
-  explicit FleetPlanner(const FleetTimings& limits);
+  explicit FleetPlanner(const FleetTimings& initial);
 
-  // `begun`: boxes whose upkeep a previous owner recorded as started.
+  // `begun`: boxes whose maintenance a previous owner recorded as started.
   void SetWave(const Wave& wave,
                const std::vector<std::string>& begun,
                base::Micros now);
@@ -139,12 +139,12 @@
   void SetBoxes(const std::vector<BoxInfo>& boxes,
                 base::Micros asked,
                 base::Micros now);
-  void OnMoveOutcome(const MoveBox& order,
+  void OnMoveOutcome(const MoveBox& command,
                      BoxCallOutcome outcome,
                      base::Micros now);
-  void OnUpkeepOutcome(const MaintainBox& order,
-                       BoxCallOutcome outcome,
-                       base::Micros now);
+  void OnMaintenanceOutcome(const MaintainBox& command,
+                            BoxCallOutcome outcome,
+                            base::Micros now);
 
   std::vector<FleetAction> Plan(const FleetView& view, base::Micros now);
 
@@ -152,22 +152,22 @@
   bool HasPendingCall(const std::string& box) const;
   // True while nothing more may be placed on the box.
   bool IsLeaving(const std::string& box) const;
-  // The worker instance on the box when its move or upkeep was requested.
+  // The worker instance on the box when its move or maintenance was requested.
   jobs::WorkerIncarnation WorkerBeforeCall(const std::string& box) const;
   bool HasOpenWave() const;
   // True while moves or waves are open, or no list has been read yet.
   bool NeedsBoxList() const;
 
  private:
-  enum class UpkeepState {
+  enum class MaintenanceState {
     kPending,
     kEvacuating,  // nothing new is placed there
     kRequested,   // called; the outcome is not known
     kDown,
     kDone,
   };
-  struct Upkeep {
-    UpkeepState state = UpkeepState::kPending;
+  struct Maintenance {
+    MaintenanceState state = MaintenanceState::kPending;
     jobs::WorkerIncarnation worker_before_call;
     base::Micros since{};
     base::Micros first_call_at{};  // it has not begun before
@@ -178,7 +178,7 @@
   };
   struct WaveProgress {
     Wave wave;
-    std::map<std::string, Upkeep> boxes;
+    std::map<std::string, Maintenance> boxes;
     bool needs_report = true;
     bool completed = false;
     base::Micros since{};
@@ -211,20 +211,21 @@
     int away = 0;
     int pinned_evacuating = 0;  // of them, evacuating long-running tasks
     bool all_done = true;
-    std::vector<std::pair<const FleetBox*, Upkeep*>> pending;
+    std::vector<std::pair<const FleetBox*, Maintenance*>> pending;
   };
 
   // An inherited call is repeated once its box is available and idle.
   enum class InheritedCall { kUnresolved, kRetry, kObsolete };
   static InheritedCall ClassifyInherited(const BoxesByName& boxes,
                                          const std::string& box);
-  static bool ResolveInherited(Upkeep& upkeep, InheritedCall inherited);
+  static bool ResolveInherited(Maintenance& maintenance,
+                               InheritedCall inherited);
   ReportWave MakeReport(const WaveProgress& progress) const;
   void ReconcileWaves(base::Micros asked, base::Micros now);
-  // Whether the box is, or recently was, in upkeep for another wave.
-  bool IsInUpkeepForOtherWave(int wave,
-                              const std::string& box,
-                              base::Micros asked) const;
+  // Whether the box is, or recently was, in maintenance for another wave.
+  bool IsInMaintenanceForOtherWave(int wave,
+                                   const std::string& box,
+                                   base::Micros asked) const;
   WaveCounts CountWave(WaveProgress& progress,
                        const BoxesByName& boxes,
                        base::Micros now) const;
@@ -252,9 +253,9 @@
   void SelectReclaimed(const FleetView& view,
                        std::map<std::string, double>& surplus,
                        double short_cores);
-  bool IsInUpkeep(const std::string& box) const;
+  bool IsInMaintenance(const std::string& box) const;
 
-  FleetTimings limits;
+  FleetTimings timings;
   std::map<int, WaveProgress> waves;
   std::map<std::string, Move> moves;  // by box, until it serves the new pool
   // Busy boxes that a pool short of cores needs more. Nothing new is placed on
--- a/scheduler/fleet_test.cc
+++ b/scheduler/fleet_test.cc
@@ -18,7 +18,7 @@
 using std::chrono::seconds;
 
 constexpr FleetTimings kLimits{.move_duration = milliseconds(1500),
-                               .upkeep_duration = milliseconds(2000)};
+                               .maintenance_duration = milliseconds(2000)};
 
 FleetBox IdleBox(const std::string& name, const std::string& pool) {
   return {.name = name,
@@ -41,7 +41,7 @@
   return found;
 }
 
-RC_BOOST_PROP(AllocationFitsAndUrgentWorkComesFirst, ()) {
+RC_BOOST_PROP(AllocationFitsTotalAndFavoursUrgentDemand, ()) {
   std::vector<FleetPool> pools;
   const int count = *rc::gen::inRange(1, 6);
   double urgent = 0.0;
@@ -67,7 +67,7 @@
   RC_ASSERT(sum <= total + 1e-6);
 }
 
-BOOST_AUTO_TEST_CASE(IdleBoxGoesToThePoolThatIsShort) {
+BOOST_AUTO_TEST_CASE(IdleBoxMovesToPoolShortOfCores) {
   FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "calm"), IdleBox("b2", "calm"),
@@ -85,7 +85,7 @@
 
 // Overload in one pool must not leave another without the box that its
 // long-running tasks need.
-BOOST_AUTO_TEST_CASE(PoolOfLastingTasksGetsItsBoxThoughAllAreShort) {
+BOOST_AUTO_TEST_CASE(MinBoxesAreMetWhenAllPoolsAreShort) {
   FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "busy"), IdleBox("b2", "busy")};
@@ -101,7 +101,7 @@
   BOOST_TEST(moves[0].pool == "lasts");
 }
 
-BOOST_AUTO_TEST_CASE(MoveWithoutAnAnswerIsAskedForAgain) {
+BOOST_AUTO_TEST_CASE(UnansweredMoveIsRetried) {
   FleetPlanner fleet(kLimits);
   FleetView view;
   view.boxes = {IdleBox("b1", "calm")};
@@ -135,7 +135,7 @@
   BOOST_TEST(!fleet.IsLeaving("b2"));
 }
 
-RC_BOOST_PROP(WaveKeepsToItsLimitAndForgetsNoBox, ()) {
+RC_BOOST_PROP(WaveStaysWithinLimitAndCoversEveryBox, ()) {
   const int count = *rc::gen::inRange(1, 12);
   const int most = *rc::gen::inRange(1, 5);
   Wave wave{.number = 3,
@@ -153,11 +153,11 @@
   fleet.SetWave(wave, {}, seconds(1));
   // Faults are drawn per call, so that each of them ends eventually.
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-  std::map<std::string, base::Micros> down;  // end of the upkeep
+  std::map<std::string, base::Micros> down;  // end of the maintenance
   std::map<std::string, int> begun;
   bool completed = false;
   base::Micros now = seconds(1);
-  for (int turn = 0; turn < 600 && !completed; ++turn) {
+  for (int pass = 0; pass < 600 && !completed; ++pass) {
     now += milliseconds(250);
     for (auto it = down.begin(); it != down.end();) {
       if (it->second > now) {
@@ -176,30 +176,30 @@
       view.boxes.push_back(box);
     view.pools = {{.name = "pool", .spare = false, .demand = {}}};
     for (const FleetAction& step : fleet.Plan(view, now)) {
-      if (const auto* upkeep = std::get_if<MaintainBox>(&step)) {
+      if (const auto* maintenance = std::get_if<MaintainBox>(&step)) {
         // 0: not carried out, no answer; 1: carried out, no answer; 2 and 3:
         // not carried out, answered so; else carried out and confirmed.
         const auto kind = random() % 6;
         const bool carried_out = kind == 1 || kind > 3;
-        if (carried_out && boxes[upkeep->box].available) {
-          RC_ASSERT(boxes[upkeep->box].idle);
-          ++begun[upkeep->box];
-          boxes[upkeep->box].available = false;
-          down[upkeep->box] = now + seconds(2);
+        if (carried_out && boxes[maintenance->box].available) {
+          RC_ASSERT(boxes[maintenance->box].idle);
+          ++begun[maintenance->box];
+          boxes[maintenance->box].available = false;
+          down[maintenance->box] = now + seconds(2);
           RC_ASSERT(static_cast<int>(down.size()) <= most);
         }
         const BoxCallOutcome outcome = kind <= 1   ? BoxCallOutcome::kUnknown
                                        : kind == 2 ? BoxCallOutcome::kNotSent
                                        : kind == 3 ? BoxCallOutcome::kThrottled
                                                    : BoxCallOutcome::kDone;
-        fleet.OnUpkeepOutcome(*upkeep, outcome, now);
+        fleet.OnMaintenanceOutcome(*maintenance, outcome, now);
       } else if (const auto* evacuate = std::get_if<EvacuateBox>(&step)) {
         boxes[evacuate->box].idle = random() % 2 == 0;
       } else if (const auto* report = std::get_if<ReportWave>(&step)) {
         completed = report->state == WaveState::kCompleted;
       }
     }
-    if (turn % 8 == 0) {
+    if (pass % 8 == 0) {
       std::vector<BoxInfo> listed;
       for (const auto& [name, box] : boxes) {
         listed.push_back(
@@ -218,9 +218,9 @@
 }
 
 // An owner that was paused may read a box list long after it was written. A
-// list requested before an upkeep shows the box as up, but must not count as
+// list requested before maintenance shows the box as up, but must not count as
 // evidence that the box is back; otherwise the wave exceeds its limit.
-BOOST_AUTO_TEST_CASE(ListFromBeforeAnUpkeepDoesNotBringTheBoxBack) {
+BOOST_AUTO_TEST_CASE(StaleBoxListDoesNotEndMaintenance) {
   FleetPlanner fleet(kLimits);
   const FleetView view{
       .boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
@@ -239,25 +239,26 @@
   BOOST_REQUIRE(first.size() == 1U);
   const base::Micros asked = now;
   now += milliseconds(100);
-  fleet.OnUpkeepOutcome(first[0], BoxCallOutcome::kDone, now);
+  fleet.OnMaintenanceOutcome(first[0], BoxCallOutcome::kDone, now);
   now += seconds(3);
   fleet.SetBoxes(listed, asked, now);
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).empty());
-  // A list requested after the upkeep does count.
+  // A list requested after the maintenance does count.
   fleet.SetBoxes(listed, now, now);
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, now)).size() == 1U);
 }
 
-// A previous owner's upkeep call may still be in flight. The box counts as away
-// from the start, and once its worker has answered and is idle the call is
+// A previous owner's maintenance call may still be in flight. The box counts as
+// away from the start, and once its worker has answered and is idle the call is
 // repeated, so that the box refuses the earlier one by its lower epoch.
-BOOST_AUTO_TEST_CASE(InheritedUpkeepCountsUntilItIsMadeAnew) {
+BOOST_AUTO_TEST_CASE(InheritedMaintenanceCountsUntilRepeated) {
   FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
                  .pools = {{.name = "pool", .spare = false, .demand = {}}}};
   const base::Micros now = seconds(10);
-  fleet.Inherit(MaintainBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
-                now);
+  fleet.Inherit(
+      MaintainBox{.box = "b1", .wave = 1, .incarnation = {.id = "b1-life"}},
+      now);
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .cores = 16.0},
                   {.name = "b2", .pool = "pool", .cores = 16.0}},
                  now, now);
@@ -274,12 +275,12 @@
       Only<MaintainBox>(fleet.Plan(view, now + milliseconds(250)));
   BOOST_REQUIRE(made.size() == 1U);
   BOOST_TEST(made[0].box == "b1");
-  BOOST_TEST(made[0].life.id == "b1-life");
+  BOOST_TEST(made[0].incarnation.id == "b1-life");
 }
 
 // A box with runs shows that the previous owner abandoned its call or that it
 // was carried out long ago. Repeating the call would end those runs.
-BOOST_AUTO_TEST_CASE(InheritedCallEndsNothingThatRuns) {
+BOOST_AUTO_TEST_CASE(InheritedCallIsNotRepeatedOnBusyBox) {
   FleetPlanner fleet(kLimits);
   FleetView view{.boxes = {IdleBox("b1", "pool"), IdleBox("b2", "pool")},
                  .pools = {{.name = "pool", .spare = false, .demand = {}}}};
@@ -288,10 +289,12 @@
     box.idle = false;
     box.long_running_tasks = 1;
   }
-  fleet.Inherit(MaintainBox{.box = "b1", .wave = 1, .life = {.id = "b1-life"}},
-                now);
   fleet.Inherit(
-      MoveBox{.box = "b2", .pool = "other", .life = {.id = "b2-life"}}, now);
+      MaintainBox{.box = "b1", .wave = 1, .incarnation = {.id = "b1-life"}},
+      now);
+  fleet.Inherit(
+      MoveBox{.box = "b2", .pool = "other", .incarnation = {.id = "b2-life"}},
+      now);
   fleet.SetBoxes({{.name = "b1", .pool = "pool", .cores = 16.0},
                   {.name = "b2", .pool = "pool", .cores = 16.0}},
                  now, now);
@@ -309,10 +312,11 @@
 }
 
 // A crashed worker that restarts while its box goes down announces a new
-// instance. Taken as the end of the upkeep, this let the wave exceed its limit.
-BOOST_AUTO_TEST_CASE(LifeThatStartsWhileItsBoxIsTakenIsNotBackFromTheUpkeep) {
-  FleetPlanner fleet(
-      {.move_duration = milliseconds(1500), .upkeep_duration = seconds(2)});
+// instance. Taken as the end of the maintenance, this let the wave exceed its
+// limit.
+BOOST_AUTO_TEST_CASE(IncarnationStartedDuringShutdownDoesNotEndMaintenance) {
+  FleetPlanner fleet({.move_duration = milliseconds(1500),
+                      .maintenance_duration = seconds(2)});
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
                   .duration = seconds(60),
@@ -325,7 +329,8 @@
                  .pools = {{.name = "pool"}}};
   const auto first = Only<MaintainBox>(fleet.Plan(view, seconds(1)));
   BOOST_REQUIRE(first.size() == 1U);
-  fleet.OnUpkeepOutcome(first[0], BoxCallOutcome::kDone, milliseconds(1020));
+  fleet.OnMaintenanceOutcome(first[0], BoxCallOutcome::kDone,
+                             milliseconds(1020));
   fleet.OnBoxAnnounced(first[0].box, {.id = "crashed-and-back"}, "pool",
                        milliseconds(1400));
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, milliseconds(1500))).empty());
@@ -338,11 +343,12 @@
 // A move that got no answer may have been carried out, and its box announced in
 // the new pool before the repeated call is confirmed. The box must be usable as
 // soon as it is.
-BOOST_AUTO_TEST_CASE(BoxThatIsBackServesOnceItsMoveIsAnswered) {
+BOOST_AUTO_TEST_CASE(MovedBoxIsUsableOnceMoveIsConfirmed) {
   FleetPlanner fleet(kLimits);
   const base::Micros now = seconds(10);
   fleet.Inherit(
-      MoveBox{.box = "b1", .pool = "other", .life = {.id = "b1-life"}}, now);
+      MoveBox{.box = "b1", .pool = "other", .incarnation = {.id = "b1-life"}},
+      now);
   fleet.OnBoxAnnounced("b1", {.id = "b1-next"}, "other", now);
   BOOST_TEST(fleet.IsLeaving("b1"));
   FleetBox box = IdleBox("b1", "other");
@@ -356,7 +362,7 @@
 
 // Boxes with long-running tasks are evacuated one after the other. Unless they
 // start along with the idle ones, they miss the wave's deadline.
-BOOST_AUTO_TEST_CASE(BoxesOfLastingTasksBeginWithTheFirst) {
+BOOST_AUTO_TEST_CASE(BoxesWithLongRunningTasksStartWithTheIdleOnes) {
   FleetPlanner fleet(kLimits);
   Wave wave{
       .number = 1, .boxes = {}, .duration = seconds(25), .max_concurrent = 16};
@@ -380,7 +386,7 @@
   BOOST_TEST(Only<EvacuateBox>(fleet.Plan(view, seconds(2))).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(LaterOwnerDoesNotBeginAnUpkeepAgain) {
+BOOST_AUTO_TEST_CASE(RecordedMaintenanceIsNotRepeatedByLaterOwner) {
   FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
@@ -400,7 +406,7 @@
   BOOST_TEST(begun[0].box == "b2");
 }
 
-BOOST_AUTO_TEST_CASE(UpkeepThatAnEarlierOwnerBeganCounts) {
+BOOST_AUTO_TEST_CASE(UnrecordedMaintenanceOfEarlierOwnerCounts) {
   FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"b1", "b2"},
@@ -410,7 +416,7 @@
   FleetView view;
   view.boxes = {IdleBox("b2", "pool")};
   view.pools = {{.name = "pool", .spare = false, .demand = {}}};
-  // No upkeep starts before the list has been read.
+  // No maintenance starts before the list has been read.
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(2))).empty());
   fleet.SetBoxes(
       {{.name = "b1", .pool = "pool", .state = BoxState::kMaintenance},
@@ -423,9 +429,9 @@
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(6))).size() == 1U);
 }
 
-// When two waves cover one box, its upkeep for one wave must not count for the
-// other, neither while the list shows it nor shortly after.
-BOOST_AUTO_TEST_CASE(UpkeepForOneWaveIsNoneForAnother) {
+// When two waves cover one box, its maintenance for one wave must not count for
+// the other, neither while the list shows it nor shortly after.
+BOOST_AUTO_TEST_CASE(MaintenanceCountsForOneWaveOnly) {
   FleetPlanner fleet(kLimits);
   const auto wave = [](int number) {
     return Wave{.number = number,
@@ -442,8 +448,8 @@
   fleet.SetWave(wave(1), {}, seconds(1));
   fleet.SetBoxes({up}, seconds(1), seconds(1));
   BOOST_TEST(Only<MaintainBox>(fleet.Plan(view, seconds(1))).size() == 1U);
-  fleet.OnUpkeepOutcome({.box = "b1", .wave = 1}, BoxCallOutcome::kDone,
-                        seconds(1));
+  fleet.OnMaintenanceOutcome({.box = "b1", .wave = 1}, BoxCallOutcome::kDone,
+                             seconds(1));
   fleet.SetWave(wave(2), {}, seconds(2));
   fleet.SetBoxes({down}, seconds(2), seconds(2));
   // The new worker instance announces itself before the list shows the box up.
@@ -460,7 +466,7 @@
 }
 
 // Such a box may be used again before the box service lists it as up.
-BOOST_AUTO_TEST_CASE(BoxThatAnswersIsBackFromAnEarlierOwnersUpkeep) {
+BOOST_AUTO_TEST_CASE(WorkerAnswerEndsInheritedMaintenance) {
   FleetPlanner fleet(kLimits);
   const Wave wave{.number = 1,
                   .boxes = {"b1", "b2"},
@@ -473,7 +479,7 @@
   BOOST_TEST(fleet.IsLeaving("b2"));
 }
 
-BOOST_AUTO_TEST_CASE(RemovedBoxDoesNotHoldUpItsWave) {
+BOOST_AUTO_TEST_CASE(RemovedBoxDoesNotBlockWave) {
   FleetPlanner fleet(kLimits);
   fleet.SetWave({.number = 1,
                  .boxes = {"gone"},
--- a/scheduler/job_end_test.cc
+++ b/scheduler/job_end_test.cc
@@ -20,14 +20,14 @@
 
 // Guards against a task that runs twice because a replaced owner stops it. The
 // owner failed the job and stopped its other task just before the write of that
-// failure was refused. The next owner had just listed the worker, whose listing
+// failure was refused. The next owner had just polled the worker, whose report
 // omits runs that are being stopped, took the task for unplaced and started it
 // on the same worker 0.2 s later, beside the first run. So stops wait until the
 // failure is saved.
-BOOST_AUTO_TEST_CASE(FailedJobStopsItsTasksOnceThatIsRecorded) {
+BOOST_AUTO_TEST_CASE(FailedJobStopsTasksAfterFailureIsSaved) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   jobs::Queue queue;
   queue.name = "queue";
   queue.service = "pool";
@@ -43,24 +43,24 @@
     start.task.index = index;
     bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   }
-  bench.List("w",
-             {.clock_ms = 0,
-              .running = {{.task = {.job = "job", .index = 1},
+  bench.Report("w",
+               {.clock_ms = 0,
+                .running = {{.task = {.job = "job", .index = 1},
+                             .run = first.run,
+                             .checkpoint = "",
+                             .percent = 10}},
+                .ended = {{.sequence = 1,
+                           .task = FirstTask("job"),
                            .run = first.run,
-                           .checkpoint = "",
-                           .percent = 10}},
-              .ended = {{.sequence = 1,
-                         .task = FirstTask("job"),
-                         .run = first.run,
-                         .reason = RunEndReason::kFailed,
-                         .checkpoint = ""}}},
-             bench.now + seconds(4));
-  const std::vector<Action> actions = bench.Turn();
+                           .reason = RunEndReason::kFailed,
+                           .checkpoint = ""}}},
+               bench.now + seconds(4));
+  const std::vector<Action> actions = bench.RunPass();
   const auto saves = Only<SaveProgress>(actions);
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_TEST(Only<StopRun>(actions).empty());
   bench.Save(saves);
-  const auto stops = Only<StopRun>(bench.Turn());
+  const auto stops = Only<StopRun>(bench.RunPass());
   BOOST_REQUIRE(stops.size() == 1U);
   BOOST_TEST(stops[0].task.index == 1);
 }
@@ -70,8 +70,8 @@
 BOOST_AUTO_TEST_CASE(CancelledJobStopsItsTasksAtOnce) {
   Bench bench(1);
   bench.scheduler.UpdateWorker(Bench::Worker("w"), bench.now);
-  bench.List("w", {});
-  bench.AddJob("job", Bench::OneLastingTask());
+  bench.Report("w", {});
+  bench.AddJob("job", Bench::OneLongRunningTask());
   const StartRun start = bench.NextStart();
   bench.scheduler.StartAnswered(start, CommandOutcome::kDone, bench.now);
   bench.scheduler.CancelJob("job", bench.now);
--- a/scheduler/model_test.cc
+++ b/scheduler/model_test.cc
@@ -22,9 +22,9 @@
   return step;
 }
 
-// Makes the step small enough for all lasting tasks and any other task to fit
-// on two workers.
-void MakeLasting(jobs::Step& step) {
+// Makes the step small enough for all long-running tasks and any other task to
+// fit on two workers.
+void MakeLongRunning(jobs::Step& step) {
   step.long_running = true;
   step.task_resources = {.cpu_millis = 50, .memory_mb = 100, .gpus = 0};
 }
@@ -43,7 +43,7 @@
           MakeStep(*rc::gen::inRange(1, 4), *rc::gen::inRange(500, 2500)));
       job.spec.steps.back().depends_on = {0};
     } else if (*rc::gen::arbitrary<bool>()) {
-      MakeLasting(job.spec.steps.back());
+      MakeLongRunning(job.spec.steps.back());
     }
     jobs.push_back(job);
   }
@@ -56,8 +56,8 @@
   };
   ModelFaults faults;
   faults.lost_answer = odds(150);
-  faults.lost_order = odds(150);
-  faults.late_order = odds(100);
+  faults.lost_command = odds(150);
+  faults.late_command = odds(100);
   faults.lost_save = odds(200);
   faults.late_save = odds(100);
   faults.crash = odds(100);
@@ -77,7 +77,7 @@
   return text;
 }
 
-bool IsLasting(const ModelJob& job) {
+bool IsLongRunning(const ModelJob& job) {
   return job.spec.steps.back().long_running;
 }
 
@@ -102,11 +102,11 @@
 
 // Guards against takeovers in short succession that restart the wait for a dead
 // worker's lease each time, so that its tasks never start elsewhere.
-BOOST_AUTO_TEST_CASE(TakeoversDoNotPutADeadWorkersTasksOff) {
+BOOST_AUTO_TEST_CASE(TakeoversDoNotDelayTasksOfDeadWorkers) {
   ModelJob job;
   job.id = "lasting";
   job.spec.steps = {MakeStep(2, 1000)};
-  MakeLasting(job.spec.steps[0]);
+  MakeLongRunning(job.spec.steps[0]);
   SchedulerModel model(1, {}, 3, {job});
   model.RunFor(seconds(3));
   BOOST_REQUIRE(model.RunningTasks("lasting") == 2);
@@ -122,14 +122,14 @@
 // Guards against a second start of a finished task: an owner that doesn't know
 // of its takeover saves an end, and acknowledges it to the worker, after the
 // new owner has read the row. Parts of the store are unavailable meanwhile.
-BOOST_AUTO_TEST_CASE(WhatAnEarlierOwnerSavedIsNotStartedAgain) {
+BOOST_AUTO_TEST_CASE(TaskSavedAsDoneByEarlierOwnerIsNotRestarted) {
   const bool holds = rc::check("a finished task is not started again", [] {
     std::vector<ModelJob> jobs = DrawJobs(4);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     ModelFaults faults;
     faults.store_outage = 0.5;
     // A new owner reaches some workers late, while the earlier owner still
-    // sends them orders.
+    // sends them commands.
     faults.partition = 2.0;
     SchedulerModel model(seed, faults, 5, jobs);
     for (int i = 0; i < 5; ++i) {
@@ -146,7 +146,7 @@
 
 // Guards against a second start of a job that a new owner learns of from its
 // worker before the store delivers it.
-BOOST_AUTO_TEST_CASE(JobsThatTheirWorkersTellOfFirstRunOnce) {
+BOOST_AUTO_TEST_CASE(JobsReportedBeforeLoadingRunOnce) {
   const bool holds = rc::check("a job that is delivered late runs once", [] {
     std::vector<ModelJob> jobs = DrawJobs(3);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -161,14 +161,14 @@
     RC_LOG() << Joined(model.violations()) << model.History();
     RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
     }
   });
   BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(PromisesHoldUnderFaults) {
+BOOST_AUTO_TEST_CASE(GuaranteesHoldUnderFaults) {
   const bool holds = rc::check(
       "no task runs twice, too early, too often or beyond its worker's "
       "capacity, and every job ends after the faults",
@@ -186,7 +186,7 @@
           RC_LOG() << job.id << " is "
                    << base::NameOf(jobs::kJobStateNames, model.StateOf(job.id))
                    << " after " << model.takeovers() << " takeovers\n";
-          if (IsLasting(job)) {
+          if (IsLongRunning(job)) {
             const int missing =
                 job.spec.steps.back().tasks - model.RunningTasks(job.id);
             RC_ASSERT(missing >= 0);
@@ -199,13 +199,13 @@
   BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(CancelledJobsStopForGood) {
+BOOST_AUTO_TEST_CASE(CancelledJobsStayStopped) {
   const bool holds =
       rc::check("a cancelled job runs no more tasks, whatever the faults", [] {
         std::vector<ModelJob> jobs = DrawJobs(2);
         for (ModelJob& job : jobs) {
           if (job.spec.steps.size() == 1)
-            MakeLasting(job.spec.steps.front());
+            MakeLongRunning(job.spec.steps.front());
         }
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
         SchedulerModel model(seed, DrawFaults(), 3, jobs);
@@ -224,18 +224,18 @@
 
 // Owners are paused between a decision and its call, replaced, and resumed.
 // Calls are lost, delayed and repeated, and a box accepts an earlier owner's
-// calls until the next owner has called it. During an upkeep wave, and while
-// another pool takes boxes, no more boxes and tasks are away than the wave and
-// the lasting job allow.
-BOOST_AUTO_TEST_CASE(OwnersThatStandStillTakeNoMoreThanMayBeAway) {
-  const bool holds = rc::check("no more is away than allowed", [] {
-    ModelJob lasting;
-    lasting.id = "lasting";
-    lasting.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
-    MakeLasting(lasting.spec.steps[0]);
-    lasting.spec.steps[0].max_per_worker = 1;
-    lasting.spec.steps[0].max_unavailable = 1;
-    std::vector<ModelJob> jobs = {lasting};
+// calls until the next owner has called it. During a maintenance wave, and
+// while another pool takes boxes, no more boxes and tasks are away than the
+// wave and the long-running job allow.
+BOOST_AUTO_TEST_CASE(PausedOwnersKeepDisruptionWithinLimits) {
+  const bool holds = rc::check("boxes and tasks away stay within limits", [] {
+    ModelJob long_running;
+    long_running.id = "lasting";
+    long_running.spec.steps = {MakeStep(*rc::gen::inRange(2, 5), 500)};
+    MakeLongRunning(long_running.spec.steps[0]);
+    long_running.spec.steps[0].max_per_worker = 1;
+    long_running.spec.steps[0].max_unavailable = 1;
+    std::vector<ModelJob> jobs = {long_running};
     for (int i = 0; i < 3; ++i) {
       ModelJob job;
       job.id = "urgent" + std::to_string(i);
@@ -263,16 +263,17 @@
     model.RunFor(seconds(60));
     RC_LOG() << Joined(model.violations()) << model.History();
     RC_ASSERT(model.violations().empty());
-    RC_ASSERT(model.UpkeepsDone() > 0);
-    RC_ASSERT(model.RunningTasks(lasting.id) == lasting.spec.steps[0].tasks);
+    RC_ASSERT(model.MaintainedBoxes() > 0);
+    RC_ASSERT(model.RunningTasks(long_running.id) ==
+              long_running.spec.steps[0].tasks);
   });
   BOOST_TEST(holds);
 }
 
 // Worker capacity drops up to twice a second and recovers, while owners change
-// and orders are under way. Orders that a worker carries out seconds late are
-// excluded, because the platform's pages set no time bound for them.
-BOOST_AUTO_TEST_CASE(RoomThatShrinksIsNotPassed) {
+// and commands are under way. Commands that a worker carries out seconds late
+// are excluded, because the platform's pages set no time bound for them.
+BOOST_AUTO_TEST_CASE(NoStartExceedsReducedCapacity) {
   const bool holds = rc::check("no start exceeds a reduced capacity", [] {
     std::vector<ModelJob> jobs = DrawJobs(*rc::gen::inRange(2, 8));
     ModelFaults faults;
@@ -280,7 +281,7 @@
     faults.takeover = *rc::gen::inRange(0, 200) / 1000.0;
     faults.owner_pause = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_answer = *rc::gen::inRange(0, 150) / 1000.0;
-    faults.lost_order = *rc::gen::inRange(0, 100) / 1000.0;
+    faults.lost_command = *rc::gen::inRange(0, 100) / 1000.0;
     faults.lost_save = *rc::gen::inRange(0, 200) / 1000.0;
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     SchedulerModel model(seed, faults, *rc::gen::inRange(2, 6), jobs);
@@ -290,7 +291,7 @@
     RC_LOG() << Joined(model.violations()) << model.History();
     RC_ASSERT(model.violations().empty());
     for (const ModelJob& job : jobs) {
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         RC_ASSERT(jobs::IsFinal(model.StateOf(job.id)));
     }
   });
@@ -300,7 +301,7 @@
 // Guards against runs that a cancelled job starts late: a worker carries out a
 // start 2 to 6 s after it was sent, the owner that sent it has been replaced,
 // or both. Each run must be stopped within 5 s of the last late start.
-BOOST_AUTO_TEST_CASE(CancelledJobsStopThoughStartsAreLateAndTheirOwnerIsGone) {
+BOOST_AUTO_TEST_CASE(CancelledJobsStopDespiteLateStartsAndTakeover) {
   for (const double late : {0.0, 0.7}) {
     for (const bool is_replaced : {false, true}) {
       const bool holds = rc::check(
@@ -309,9 +310,9 @@
             ModelJob job;
             job.id = "cancelled";
             job.spec.steps = {MakeStep(*rc::gen::inRange(1, 6), 1000)};
-            MakeLasting(job.spec.steps[0]);
+            MakeLongRunning(job.spec.steps[0]);
             ModelFaults faults;
-            faults.late_order = late;
+            faults.late_command = late;
             const auto seed = *rc::gen::arbitrary<std::uint64_t>();
             SchedulerModel model(seed, faults, 4, {job});
             model.RunFor(
--- a/scheduler/stuck_tasks_test.cc
+++ b/scheduler/stuck_tasks_test.cc
@@ -73,13 +73,13 @@
     info.box = box;
     info.service = pool;
     this->bench.scheduler.UpdateWorker(info, this->bench.now);
-    this->List(info.life.id);
+    this->Report(info.incarnation.id);
   }
 
-  void List(const std::string& worker) {
+  void Report(const std::string& worker) {
     const base::Micros before = this->bench.now;
-    this->bench.List(worker, {.running = this->running[worker]},
-                     before + std::chrono::seconds(4));
+    this->bench.Report(worker, {.running = this->running[worker]},
+                       before + std::chrono::seconds(4));
     this->bench.now = before;
   }
 
@@ -105,7 +105,7 @@
   void AddStuckJob(const std::string& pool, StuckReason reason) {
     const std::string id =
         "stuck-" + pool + std::to_string(static_cast<int>(reason));
-    jobs::Step step = Bench::OneLastingTask();
+    jobs::Step step = Bench::OneLongRunningTask();
     jobs::Progress progress;
     if (reason == StuckReason::kLabel)
       step.label = "nowhere";
@@ -117,10 +117,10 @@
                    progress, reason == StuckReason::kAdvice);
   }
 
-  // Runs turns of 0.3 s. Boxes that are moved are back at once.
-  void RunTurns(int turns) {
-    for (int i = 0; i < turns; ++i) {
-      const std::vector<Action> actions = this->bench.Turn();
+  // Runs passes 0.3 s apart. Boxes that are moved are back at once.
+  void RunPasses(int passes) {
+    for (int i = 0; i < passes; ++i) {
+      const std::vector<Action> actions = this->bench.RunPass();
       this->bench.Save(Only<SaveProgress>(actions));
       for (const StartRun& start :
            Only<StartRun>(this->bench.scheduler.TakeActions())) {
@@ -130,8 +130,8 @@
             {.task = start.task, .run = start.run, .percent = 100});
         ++this->starts;
       }
-      for (const PollWorker& look : Only<PollWorker>(actions))
-        this->List(look.worker.id);
+      for (const PollWorker& poll : Only<PollWorker>(actions))
+        this->Report(poll.worker.id);
       for (const MoveBox& move : Only<MoveBox>(actions)) {
         this->bench.scheduler.MoveAnswered(move, BoxCallOutcome::kDone,
                                            this->bench.now);
@@ -160,52 +160,52 @@
 }  // namespace
 
 // Guards against a task over its quota that takes boxes from other pools.
-BOOST_AUTO_TEST_CASE(LastingTaskOverItsQuotaTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskOverItsQuotaTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kQuota);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
 // Guards against a job over its quota that reserves a box for each task.
-BOOST_AUTO_TEST_CASE(LastingJobOverItsQuotaReservesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningJobOverItsQuotaReservesNoBoxes) {
   ThreePools fleet;
-  jobs::Step step = Bench::OneLastingTask();
+  jobs::Step step = Bench::OneLongRunningTask();
   step.tasks = 100;
   step.max_per_worker = 1;
   fleet.AddJobTo("pool", "wide", step, "full");
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
 // Guards against a task whose label no worker has and that takes boxes from
 // other pools.
-BOOST_AUTO_TEST_CASE(LastingTaskThatNoWorkerSuitsTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskWithoutSuitableWorkerTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kLabel);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
 // Guards against a task larger than any worker that takes boxes from other
 // pools.
-BOOST_AUTO_TEST_CASE(LastingTaskLargerThanAnyWorkerTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskLargerThanAnyWorkerTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kSize);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
 
 // Guards against a task without required advice that takes boxes from other
 // pools.
-BOOST_AUTO_TEST_CASE(LastingTaskWithoutAdviceTakesNoBoxes) {
+BOOST_AUTO_TEST_CASE(LongRunningTaskWithoutAdviceTakesNoBoxes) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kAdvice);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
 }
@@ -215,25 +215,25 @@
 BOOST_AUTO_TEST_CASE(GivenUpTaskTakesNoBoxesAndDoesNotWait) {
   ThreePools fleet;
   fleet.AddStuckJob("pool", StuckReason::kGivenUp);
-  fleet.RunTurns(100);
+  fleet.RunPasses(100);
   BOOST_TEST(fleet.starts == 0);
   BOOST_TEST(fleet.moved["pool"] == 0);
   BOOST_TEST(fleet.Pool("pool").waiting == 0);
 }
 
 // Guards against a pool that can't get the one box it needs.
-BOOST_AUTO_TEST_CASE(LastingTaskThatABoxWouldHoldGetsOne) {
+BOOST_AUTO_TEST_CASE(StuckLongRunningTaskGetsABox) {
   ThreePools fleet;
-  jobs::Step many = Bench::OneLastingTask();
+  jobs::Step many = Bench::OneLongRunningTask();
   many.tasks = 20;
   many.task_resources = {.cpu_millis = 10, .memory_mb = 2000, .gpus = 0};
   fleet.AddJobTo("pool", "many", many);
-  fleet.RunTurns(30);
+  fleet.RunPasses(30);
   BOOST_REQUIRE(fleet.starts == 20);
-  jobs::Step large = Bench::OneLastingTask();
+  jobs::Step large = Bench::OneLongRunningTask();
   large.task_resources.memory_mb = 3000;
   fleet.AddJobTo("pool", "large", large);
-  fleet.RunTurns(20);
+  fleet.RunPasses(20);
   BOOST_TEST(fleet.starts == 21);
   BOOST_TEST(fleet.moved["pool"] >= 1);
   BOOST_TEST(fleet.moved["pool"] <= 2);
@@ -254,7 +254,7 @@
     // At most 75 of the 150 boxes are needed, whatever pool they are in.
     int tasks = 0;
     for (const std::string& pool : pools) {
-      jobs::Step step = Bench::OneLastingTask();
+      jobs::Step step = Bench::OneLongRunningTask();
       step.tasks = *rc::gen::inRange(1, 26);
       step.task_resources = {.cpu_millis = *rc::gen::inRange(10, 4000),
                              .memory_mb = *rc::gen::inRange(10, 4000),
@@ -263,11 +263,11 @@
       fleet.AddJobTo(pool, "fits-" + pool, step);
       tasks += static_cast<int>(step.tasks);
     }
-    fleet.RunTurns(120);
+    fleet.RunPasses(120);
     RC_ASSERT(fleet.starts == tasks);
     // Stuck tasks may cause a few more moves, but not a steady stream.
     fleet.moved.clear();
-    fleet.RunTurns(40);
+    fleet.RunPasses(40);
     int moved = 0;
     for (const auto& [pool, boxes] : fleet.moved)
       moved += boxes;
--- a/scheduler/unknown_jobs.cc
+++ b/scheduler/unknown_jobs.cc
@@ -1,12 +1,13 @@
-// Runs and ends that workers list for jobs that the scheduler has not read yet.
+// Runs and ends that workers report for jobs that the scheduler has not read
+// yet.
 //
 // A new owner reads jobs and progress part by part and then polls the workers.
-// A worker may therefore list a job that was accepted and placed meanwhile
+// A worker may therefore report a job that was accepted and placed meanwhile
 // before the owner has read it. If its end were acknowledged then, the worker
 // would discard it: the job, once read, would have a placement for which the
-// worker lists neither a run nor an end, and would be started a second time. So
-// ends of an unknown job are not acknowledged, and its runs not stopped, until
-// the job has been read.
+// worker reports neither a run nor an end, and would be started a second time.
+// So ends of an unknown job are not acknowledged, and its runs not stopped,
+// until the job has been read.
 
 #include <algorithm>
 #include <utility>
@@ -23,27 +24,28 @@
 }
 
 void Scheduler::BufferRunEnd(Worker& worker, const ReportedEnd& end) {
-  this->UnknownJobFor(end.task.job).ends.emplace_back(worker.info.life, end);
+  this->UnknownJobFor(end.task.job)
+      .ends.emplace_back(worker.info.incarnation, end);
   worker.pending_ends.push_back(
       {.number = end.sequence, .job = end.task.job, .awaits_job = true});
 }
 
 void Scheduler::BufferRun(Worker& worker,
-                          const ReportedRun& listed,
+                          const ReportedRun& reported,
                           base::Micros now) {
-  Run run{.number = listed.run, .state = RunState::kRunning};
+  Run run{.number = reported.run, .state = RunState::kRunning};
   run.has_unknown_resources = true;
   run.decided_at = now;
   run.start_answered_at = now;
   run.adopted = true;
   run.is_confirmed = true;
-  run.percent = listed.percent;
-  AddRun(worker, listed.task, std::move(run));
-  // A listed run implies a lease, whoever granted it.
+  run.percent = reported.percent;
+  AddRun(worker, reported.task, std::move(run));
+  // A reported run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.max_grant);
-  this->UnknownJobFor(listed.task.job)
-      .runs.emplace_back(worker.info.life, listed.task);
+  this->UnknownJobFor(reported.task.job)
+      .runs.emplace_back(worker.info.incarnation, reported.task);
 }
 
 // Applies the ends and runs that were held back until the job was known.
@@ -65,12 +67,12 @@
     const auto run = worker->second.runs.find(task);
     if (run == worker->second.runs.end())
       continue;
-    const ReportedRun listed{.task = task,
-                             .run = run->second.number,
-                             .checkpoint = "",
-                             .percent = run->second.percent};
+    const ReportedRun reported{.task = task,
+                               .run = run->second.number,
+                               .checkpoint = "",
+                               .percent = run->second.percent};
     RemoveRun(worker->second, task);
-    this->AdoptRun(worker->second, listed, now);
+    this->AdoptRun(worker->second, reported, now);
   }
 }
 
--- a/scheduler/worker_lives.cc
+++ b/scheduler/worker_incarnations.cc
@@ -1,9 +1,11 @@
-// Lives of workers: which life of a worker id is the current one, and what
-// happens to the runs of a life when the worker restarts under the same id.
+// Incarnations of workers: which incarnation of a worker id is the current one,
+// and what happens to the runs of an incarnation when the worker restarts under
+// the same id.
 //
-// A start sent to one life may have been carried out by the next, which answers
-// under the same id. So runs that a life has not confirmed move to the next
-// life, whose listing settles them. All other runs ended with their life.
+// A start sent to one incarnation may have been carried out by the next, which
+// answers under the same id. So runs that an incarnation has not confirmed move
+// to the next incarnation, whose report settles them. All other runs ended with
+// their incarnation.
 
 #include <algorithm>
 #include <utility>
@@ -14,13 +16,14 @@
 
 // --- Lookup ---
 
-Worker* Scheduler::FindIncarnation(const jobs::WorkerIncarnation& life) {
-  const auto found = this->workers.find(life);
+Worker* Scheduler::FindIncarnation(const jobs::WorkerIncarnation& incarnation) {
+  const auto found = this->workers.find(incarnation);
   return found == this->workers.end() ? nullptr : &found->second;
 }
 
-const Worker* Scheduler::FindWorker(const jobs::WorkerIncarnation& life) const {
-  const auto found = this->workers.find(life);
+const Worker* Scheduler::FindWorker(
+    const jobs::WorkerIncarnation& incarnation) const {
+  const auto found = this->workers.find(incarnation);
   return found == this->workers.end() ? nullptr : &found->second;
 }
 
@@ -36,37 +39,39 @@
   return is_match ? &found->second : nullptr;
 }
 
-Worker* Scheduler::FindHolder(const jobs::WorkerIncarnation& life) {
-  Worker* current = this->CurrentIncarnation(life.id);
-  const bool is_holder = current && (current->info.life == life ||
-                                     current->info.life.IsAfter(life));
+Worker* Scheduler::FindHolder(const jobs::WorkerIncarnation& incarnation) {
+  Worker* current = this->CurrentIncarnation(incarnation.id);
+  const bool is_holder =
+      current && (current->info.incarnation == incarnation ||
+                  current->info.incarnation.IsAfter(incarnation));
   return is_holder ? current : nullptr;
 }
 
-bool Scheduler::HasEnded(const jobs::WorkerIncarnation& life) const {
-  const auto ended = this->ended_incarnations.find(life.id);
+bool Scheduler::HasEnded(const jobs::WorkerIncarnation& incarnation) const {
+  const auto ended = this->ended_incarnations.find(incarnation.id);
   return ended != this->ended_incarnations.end() &&
-         life.start_ms <= ended->second;
+         incarnation.start_ms <= ended->second;
 }
 
-// --- New lives ---
+// --- New incarnations ---
 
 void Scheduler::UpdateWorker(const WorkerInfo& announced, base::Micros now) {
   WorkerInfo info = announced;
-  Worker* known = this->CurrentIncarnation(info.life.id);
-  // An announcement without a start time belongs to the known life.
-  if (known && info.life.start_ms == 0)
-    info.life = known->info.life;
-  const bool is_earlier = known && known->info.life.IsAfter(info.life);
-  if (is_earlier || this->HasEnded(info.life))
+  Worker* known = this->CurrentIncarnation(info.incarnation.id);
+  // An announcement without a start time belongs to the known incarnation.
+  if (known && info.incarnation.start_ms == 0)
+    info.incarnation = known->info.incarnation;
+  const bool is_earlier =
+      known && known->info.incarnation.IsAfter(info.incarnation);
+  if (is_earlier || this->HasEnded(info.incarnation))
     return;
-  if (known && info.life.IsAfter(known->info.life))
+  if (known && info.incarnation.IsAfter(known->info.incarnation))
     known = &this->ReplaceRestarted(*known, info, now);
   if (!known) {
-    known = &this->workers[info.life];
+    known = &this->workers[info.incarnation];
     ++this->worker_change_count;
     known->next_poll_at = now;
-    this->fleet.OnBoxAnnounced(info.box, info.life, info.service, now);
+    this->fleet.OnBoxAnnounced(info.box, info.incarnation, info.service, now);
   }
   const bool had_drained = known->info.draining;
   known->info = info;
@@ -74,13 +79,13 @@
   known->is_described = true;
   if (info.draining && !had_drained)
     this->actions.emplace_back(
-        LogNote{info.life.id, "is draining; placing nothing on it"});
+        LogNote{info.incarnation.id, "is draining; placing nothing on it"});
 }
 
 void Scheduler::InheritWorker(const WorkerInfo& info, base::Micros lease_end) {
-  Worker* worker = this->CurrentIncarnation(info.life.id);
+  Worker* worker = this->CurrentIncarnation(info.incarnation.id);
   if (!worker) {
-    worker = &this->workers[info.life];
+    worker = &this->workers[info.incarnation];
     worker->info = info;
     worker->is_announced = false;
   }
@@ -88,8 +93,8 @@
   ++this->worker_change_count;
 }
 
-// The life that the answer is from; null if it is from an earlier life, or the
-// asked life is not known.
+// The incarnation that the answer is from; null if it is from an earlier
+// incarnation, or the asked incarnation is not known.
 Worker* Scheduler::FindResponder(const jobs::WorkerIncarnation& asked,
                                  const jobs::WorkerIncarnation& answered,
                                  base::Micros now) {
@@ -102,29 +107,30 @@
     return nullptr;
   }
   WorkerInfo info = worker->info;
-  info.life = answered;
+  info.incarnation = answered;
   Worker& next = this->ReplaceRestarted(*worker, info, now);
   next.is_described = false;
   return &next;
 }
 
-// Replaces `earlier` by the life in `info`; `earlier` is invalid afterwards.
+// Replaces `earlier` by the incarnation in `info`; `earlier` is invalid
+// afterwards.
 Worker& Scheduler::ReplaceRestarted(Worker& earlier,
                                     const WorkerInfo& info,
                                     base::Micros now) {
-  const jobs::WorkerIncarnation ended_life = earlier.info.life;
+  const jobs::WorkerIncarnation ended_incarnation = earlier.info.incarnation;
   std::map<jobs::TaskId, Run> runs = ExtractRuns(earlier);
   const auto losses =
       this->CollectLosses(earlier, runs, LossReason::kRestarted);
-  // 1. Create the next life.
-  Worker& next = this->workers[info.life];
+  // 1. Create the next incarnation.
+  Worker& next = this->workers[info.incarnation];
   next.info = info;
   next.is_announced = earlier.is_announced;
   next.poll_sent_at = earlier.poll_sent_at;
   next.next_poll_at = now;
   // 2. Move runs that it may have started.
-  WorkerRestarted restarted{.worker = info.life,
-                            .earlier_born_ms = ended_life.start_ms,
+  WorkerRestarted restarted{.worker = info.incarnation,
+                            .earlier_born_ms = ended_incarnation.start_ms,
                             .last_end_sequence = earlier.last_processed_end};
   for (auto it = runs.begin(); it != runs.end();) {
     const bool may_be_started =
@@ -136,30 +142,30 @@
     const auto loss = losses.find(it->first);
     std::optional<PossibleLoss> possible_loss;
     if (loss != losses.end())
-      possible_loss = {.life = ended_life, .loss = loss->second};
+      possible_loss = {.incarnation = ended_incarnation, .loss = loss->second};
     this->TransferRun(next, it->first, std::move(it->second), possible_loss);
     it = runs.erase(it);
     ++restarted.transferred_runs;
   }
-  // An order sent to the earlier life may have reached this one. Its lease
-  // deadline then lies far ahead on a clock that has just restarted.
+  // A command sent to the earlier incarnation may have reached this one. Its
+  // lease deadline then lies far ahead on a clock that has just restarted.
   next.may_hold_earlier_lease = true;
   next.latest_lease_end =
       std::max(earlier.latest_lease_end, now + this->limits.max_lease);
   this->actions.emplace_back(restarted);
-  // The earlier life refuses late starts of runs that were stopped there; the
-  // next one does not know of the stops, so they are sent again.
+  // The earlier incarnation refuses late starts of runs that were stopped
+  // there; the next one does not know of the stops, so they are sent again.
   for (const UnansweredStart& start : earlier.recent_unanswered_starts) {
     if (!next.runs.contains(start.task))
-      this->actions.emplace_back(
-          StopRun{.worker = info.life, .task = start.task, .run = start.run});
+      this->actions.emplace_back(StopRun{
+          .worker = info.incarnation, .task = start.task, .run = start.run});
   }
   next.recent_unanswered_starts = std::move(earlier.recent_unanswered_starts);
   // 3. All other runs are lost.
   if (!runs.empty())
     this->HandleLostRuns(earlier, runs, losses, LossReason::kRestarted, now);
-  this->EndIncarnation(ended_life, LossReason::kRestarted, now);
-  this->fleet.OnBoxAnnounced(info.box, info.life, info.service, now);
+  this->EndIncarnation(ended_incarnation, LossReason::kRestarted, now);
+  this->fleet.OnBoxAnnounced(info.box, info.incarnation, info.service, now);
   return next;
 }
 
@@ -176,17 +182,17 @@
     Task& task = TaskAt(*job, PositionOf(id));
     const auto placed = job->progress.placed.find(KeyOf(PositionOf(id)));
     if (task.state == TaskState::kPlaced && task.run == run.number)
-      task.worker = next.info.life;
+      task.worker = next.info.incarnation;
     if (placed != job->progress.placed.end() &&
         placed->second.run == run.number) {
-      placed->second.worker = next.info.life;
+      placed->second.worker = next.info.incarnation;
       this->MarkChanged(*job);
     }
   }
   AddRun(next, id, std::move(run));
 }
 
-// --- Ended lives ---
+// --- Ended incarnations ---
 
 void Scheduler::WorkerDeregistered(const std::string& id, base::Micros now) {
   this->ended_incarnations.erase(id);
@@ -196,50 +202,54 @@
   worker->is_announced = false;
   worker->withdrawn_at = now;
   if (worker->idle() && !worker->poll_in_flight)
-    this->RemoveWorker(worker->info.life, LossReason::kDeregistered, now);
+    this->RemoveWorker(worker->info.incarnation, LossReason::kDeregistered,
+                       now);
 }
 
-void Scheduler::RemoveWorker(const jobs::WorkerIncarnation& life,
-                             LossReason sign,
+void Scheduler::RemoveWorker(const jobs::WorkerIncarnation& incarnation,
+                             LossReason reason,
                              base::Micros now) {
-  const auto found = this->workers.find(life);
+  const auto found = this->workers.find(incarnation);
   if (found == this->workers.end())
     return;
-  this->DropAllRuns(found->second, sign, now);
+  this->DropAllRuns(found->second, reason, now);
   this->workers.erase(found);
   ++this->worker_change_count;
 }
 
-// Remembers the life as over. When the store has discarded its change history,
-// all rows are read again, including announcements of ended lives. Without this
-// record, such a life on a box in upkeep would be taken for its successor.
-void Scheduler::EndIncarnation(const jobs::WorkerIncarnation& life,
-                               LossReason sign,
+// Remembers the incarnation as over. When the store has discarded its change
+// history, all rows are read again, including announcements of ended
+// incarnations. Without this record, such an incarnation on a box in
+// maintenance would be taken for its successor.
+void Scheduler::EndIncarnation(const jobs::WorkerIncarnation& incarnation,
+                               LossReason reason,
                                base::Micros now) {
-  const jobs::WorkerIncarnation ended_life = life;
-  std::int64_t& latest = this->ended_incarnations[ended_life.id];
-  latest = std::max(latest, ended_life.start_ms);
-  this->RemoveWorker(ended_life, sign, now);
+  const jobs::WorkerIncarnation ended_incarnation = incarnation;
+  std::int64_t& latest = this->ended_incarnations[ended_incarnation.id];
+  latest = std::max(latest, ended_incarnation.start_ms);
+  this->RemoveWorker(ended_incarnation, reason, now);
 }
 
-void Scheduler::DropAllRuns(Worker& worker, LossReason sign, base::Micros now) {
+void Scheduler::DropAllRuns(Worker& worker,
+                            LossReason reason,
+                            base::Micros now) {
   if (worker.idle())
     return;
   const std::map<jobs::TaskId, Run> runs = ExtractRuns(worker);
-  this->HandleLostRuns(worker, runs, this->CollectLosses(worker, runs, sign),
-                       sign, now);
+  this->HandleLostRuns(worker, runs, this->CollectLosses(worker, runs, reason),
+                       reason, now);
 }
 
 void Scheduler::HandleLostRuns(
     const Worker& worker,
     const std::map<jobs::TaskId, Run>& runs,
     const std::map<jobs::TaskId, jobs::WorkerLoss>& losses,
-    LossReason sign,
+    LossReason reason,
     base::Micros now) {
   const bool was_heard = worker.last_answer_at > base::Micros::zero();
-  WorkerLost lost{.worker = worker.info.life,
+  WorkerLost lost{.worker = worker.info.incarnation,
                   .box = worker.info.box,
-                  .reason = sign,
+                  .reason = reason,
                   .last_answer_ago = was_heard ? now - worker.last_answer_at
                                                : base::Micros(-1)};
   for (const auto& [task, run] : runs) {
@@ -256,7 +266,7 @@
   for (const auto& [task, loss] : losses) {
     if (runs.contains(task))
       this->RecordLoss(*this->FindJob(task.job), PositionOf(task),
-                       worker.info.life, loss, now);
+                       worker.info.incarnation, loss, now);
   }
   for (const auto& [task, run] : runs)
     this->HandleLostRun(task, run.number, now);
--- a/scheduler/worker_lives_test.cc
+++ b/scheduler/worker_incarnations_test.cc
@@ -33,7 +33,7 @@
   return step;
 }
 
-// Generates jobs of one or two steps, some of them with lasting tasks.
+// Generates jobs of one or two steps, some of them with long-running tasks.
 std::vector<ModelJob> GenerateJobs(int count) {
   std::vector<ModelJob> jobs;
   for (int i = 0; i < count; ++i) {
@@ -64,7 +64,7 @@
   return text;
 }
 
-bool IsLasting(const ModelJob& job) {
+bool IsLongRunning(const ModelJob& job) {
   return job.spec.steps.back().long_running;
 }
 
@@ -79,8 +79,8 @@
   faults.restart = *rc::gen::inRange(100, 2000) / 1000.0;
   faults.failing_run = probability(300);
   faults.lost_answer = probability(100);
-  faults.lost_order = probability(100);
-  faults.late_order = probability(100);
+  faults.lost_command = probability(100);
+  faults.late_command = probability(100);
   faults.lost_save = probability(200);
   faults.late_save = probability(100);
   faults.partition = probability(300);
@@ -98,33 +98,33 @@
 
 }  // namespace
 
-// Each life numbers its ends from 1. Guards against skipping ends of the next
-// life as already read because their numbers are lower.
-BOOST_AUTO_TEST_CASE(EndsAfterARestartUnderTheSameIdAreRead) {
+// Each incarnation numbers its ends from 1. Guards against skipping ends of the
+// next incarnation as already read because their numbers are lower.
+BOOST_AUTO_TEST_CASE(EndsAfterRestartUnderSameIdAreProcessed) {
   Bench bench(1);
   scheduler::WorkerInfo first = Bench::Worker("w");
-  first.life.start_ms = kFirstBorn;
+  first.incarnation.start_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(first, bench.now);
-  bench.List("w", {.life = {.id = "w", .start_ms = kFirstBorn}});
+  bench.Report("w", {.incarnation = {.id = "w", .start_ms = kFirstBorn}});
   bench.AddJob("before");
   const scheduler::StartRun before = bench.NextStart();
   bench.scheduler.LeaseGranted(bench.LifeOf("w"),
                                bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(before, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  bench.List("w", {.life = {.id = "w", .start_ms = kFirstBorn},
-                   .ended = {{.sequence = 5,
-                              .task = before.task,
-                              .run = before.run,
-                              .reason = RunEndReason::kSucceeded}}});
-  bench.Save(Only<SaveProgress>(bench.Turn()));
-  bench.Turn();
+  bench.Report("w", {.incarnation = {.id = "w", .start_ms = kFirstBorn},
+                     .ended = {{.sequence = 5,
+                                .task = before.task,
+                                .run = before.run,
+                                .reason = RunEndReason::kSucceeded}}});
+  bench.Save(Only<SaveProgress>(bench.RunPass()));
+  bench.RunPass();
   // The worker restarts, numbers its ends from 1 again, and must not receive an
-  // acknowledgement for the earlier life.
+  // acknowledgement for the earlier incarnation.
   scheduler::WorkerInfo next = Bench::Worker("w");
-  next.life.start_ms = kNextBorn;
+  next.incarnation.start_ms = kNextBorn;
   bench.scheduler.UpdateWorker(next, bench.now);
-  bench.List("w", {.life = {.id = "w", .start_ms = kNextBorn}});
+  bench.Report("w", {.incarnation = {.id = "w", .start_ms = kNextBorn}});
   bench.AddJob("after");
   const scheduler::StartRun after = bench.NextStart();
   BOOST_REQUIRE(after.task == FirstTask("after"));
@@ -132,37 +132,37 @@
                                bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(after, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  for (const PollWorker& look : Only<PollWorker>(bench.Turn()))
-    BOOST_TEST(look.acknowledged == 0);
-  bench.List("w", {.life = {.id = "w", .start_ms = kNextBorn},
-                   .ended = {{.sequence = 1,
-                              .task = after.task,
-                              .run = after.run,
-                              .reason = RunEndReason::kSucceeded}}});
-  const auto saves = Only<SaveProgress>(bench.Turn());
+  for (const PollWorker& poll : Only<PollWorker>(bench.RunPass()))
+    BOOST_TEST(poll.acknowledged == 0);
+  bench.Report("w", {.incarnation = {.id = "w", .start_ms = kNextBorn},
+                     .ended = {{.sequence = 1,
+                                .task = after.task,
+                                .run = after.run,
+                                .reason = RunEndReason::kSucceeded}}});
+  const auto saves = Only<SaveProgress>(bench.RunPass());
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_CHECK(jobs::DecodeProgress(saves[0].text)->state ==
               jobs::JobState::kCompleted);
 }
 
-// Guards against an acknowledgement that reaches a later life, which would take
-// it for its own ends and discard them. While a start is not confirmed by a
-// listing, a later life may have received it.
-BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideARunThatWasNotSeen) {
+// Guards against an acknowledgement that reaches a later incarnation, which
+// would take it for its own ends and discard them. While a start is not
+// confirmed by a report, a later incarnation may have received it.
+BOOST_AUTO_TEST_CASE(EndsAreNotAcknowledgedBesideUnconfirmedRun) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.start_ms = kFirstBorn;
+  info.incarnation.start_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("first");
   const scheduler::StartRun first = bench.NextStart();
   bench.scheduler.LeaseGranted(first.worker, bench.now + milliseconds(2500));
   bench.scheduler.StartAnswered(first, scheduler::CommandOutcome::kDone,
                                 bench.now);
-  bench.List("w", {.ended = {{.sequence = 1,
-                              .task = first.task,
-                              .run = first.run,
-                              .reason = RunEndReason::kSucceeded}}});
+  bench.Report("w", {.ended = {{.sequence = 1,
+                                .task = first.task,
+                                .run = first.run,
+                                .reason = RunEndReason::kSucceeded}}});
   bench.AddJob("next");
   const scheduler::StartRun next = bench.NextStart();
   BOOST_REQUIRE(next.task == FirstTask("next"));
@@ -170,24 +170,24 @@
   bench.scheduler.StartAnswered(next, scheduler::CommandOutcome::kDone,
                                 bench.now);
   // The poll in flight does not show the start yet.
-  bench.List("w", {});
-  const auto before = Only<PollWorker>(bench.Turn());
+  bench.Report("w", {});
+  const auto before = Only<PollWorker>(bench.RunPass());
   BOOST_REQUIRE(before.size() == 1U);
   BOOST_TEST(before[0].acknowledged == 0);
-  bench.List("w", {.running = {{.task = next.task, .run = next.run}}});
-  const auto after = Only<PollWorker>(bench.Turn());
+  bench.Report("w", {.running = {{.task = next.task, .run = next.run}}});
+  const auto after = Only<PollWorker>(bench.RunPass());
   BOOST_REQUIRE(after.size() == 1U);
   BOOST_TEST(after[0].acknowledged == 1);
 }
 
-// Guards against a late start that the next life carries out because it does
-// not know that the run was stopped.
-BOOST_AUTO_TEST_CASE(StartWithoutAnAnswerIsStoppedAtTheNextLifeToo) {
+// Guards against a late start that the next incarnation carries out because it
+// does not know that the run was stopped.
+BOOST_AUTO_TEST_CASE(UnansweredStartIsStoppedAtNextIncarnationToo) {
   Bench bench(1);
   scheduler::WorkerInfo info = Bench::Worker("w");
-  info.life.start_ms = kFirstBorn;
+  info.incarnation.start_ms = kFirstBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
-  bench.List("w", {});
+  bench.Report("w", {});
   bench.AddJob("job");
   const scheduler::StartRun start = bench.NextStart();
   bench.scheduler.LeaseGranted(start.worker, bench.now + milliseconds(2500));
@@ -195,23 +195,23 @@
                                 bench.now);
   for (int i = 0; i < 4; ++i) {
     for (const scheduler::StopRun& stop :
-         Only<scheduler::StopRun>(bench.Turn()))
+         Only<scheduler::StopRun>(bench.RunPass()))
       bench.scheduler.StopAnswered(stop, scheduler::CommandOutcome::kDone,
                                    bench.now);
-    bench.List("w", {});
+    bench.Report("w", {});
   }
   BOOST_REQUIRE(!bench.scheduler.FindWorker("w")->runs.contains(start.task));
-  info.life.start_ms = kNextBorn;
+  info.incarnation.start_ms = kNextBorn;
   bench.scheduler.UpdateWorker(info, bench.now);
   const auto stops = Only<scheduler::StopRun>(bench.scheduler.TakeActions());
   BOOST_REQUIRE(stops.size() == 1U);
-  BOOST_CHECK(stops[0].worker == info.life);
+  BOOST_CHECK(stops[0].worker == info.incarnation);
   BOOST_TEST(stops[0].run == start.run);
 }
 
 // Guards against tasks that run twice when workers restart under the same id,
 // without their state, at any point between a call and its answer.
-BOOST_AUTO_TEST_CASE(EndsOfWorkersThatKeepTheirIdAreNotLost) {
+BOOST_AUTO_TEST_CASE(EndsSurviveWorkerRestartsUnderSameId) {
   const bool holds = rc::check("tasks on restarting workers run once", [] {
     const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
     const auto model = RunModelWithRestarts(jobs);
@@ -220,20 +220,21 @@
       RC_LOG() << job.id << " is "
                << base::NameOf(jobs::kJobStateNames, model->StateOf(job.id))
                << "\n";
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         RC_ASSERT(jobs::IsFinal(model->StateOf(job.id)));
     }
   });
   BOOST_TEST(holds);
 }
 
-// Guards against giving up lasting tasks for worker losses that did not happen.
-BOOST_AUTO_TEST_CASE(LastingTasksSurviveWorkerRestarts) {
-  const bool holds = rc::check("lasting tasks run on", [] {
+// Guards against giving up long-running tasks for worker losses that did not
+// happen.
+BOOST_AUTO_TEST_CASE(LongRunningTasksSurviveWorkerRestarts) {
+  const bool holds = rc::check("long-running tasks run on", [] {
     const std::vector<ModelJob> jobs = GenerateJobs(*rc::gen::inRange(2, 7));
     const auto model = RunModelWithRestarts(jobs);
     for (const ModelJob& job : jobs) {
-      if (!IsLasting(job))
+      if (!IsLongRunning(job))
         continue;
       const int missing =
           job.spec.steps.back().tasks - model->RunningTasks(job.id);
--- a/scheduler/listings.cc
+++ b/scheduler/worker_reports.cc
@@ -1,4 +1,4 @@
-// Handling of workers' listings, of answers to starts and stops, and of lease
+// Handling of workers' reports, of answers to starts and stops, and of lease
 // expiry for workers that do not answer.
 
 #include <algorithm>
@@ -16,12 +16,12 @@
 
 using std::chrono::milliseconds;
 
-// Delay of the next poll after ends were listed, so that it returns several
+// Delay of the next poll after ends were reported, so that it returns several
 // ends at once. Each poll costs as much as a probe.
 constexpr base::Micros kPollDelayAfterEnds = milliseconds(200);
 // A poll that failed is repeated after kPollRetryDelay times the number of
-// failures in a row, at most kMaxPollRetryDelay. A worker that refused a
-// start for lack of room or an expired lease gets nothing for kPollRetryDelay.
+// failures in a row, at most kMaxPollRetryDelay. A worker that refused a start
+// for lack of capacity or an expired lease gets nothing for kPollRetryDelay.
 constexpr base::Micros kPollRetryDelay = milliseconds(250);
 constexpr base::Micros kMaxPollRetryDelay = milliseconds(1000);
 // After this many unanswered starts in a row nothing is placed on the worker
@@ -42,9 +42,9 @@
 }  // namespace
 
 void Scheduler::WorkerReported(const jobs::WorkerIncarnation& asked,
-                               const WorkerReport& listing,
+                               const WorkerReport& report,
                                base::Micros now) {
-  Worker* answered = this->FindResponder(asked, listing.life, now);
+  Worker* answered = this->FindResponder(asked, report.incarnation, now);
   if (!answered)
     return;
   Worker& worker = *answered;
@@ -56,28 +56,29 @@
       std::max(worker.last_acknowledged_end, worker.poll_acknowledged_end);
   worker.may_have_restarted = false;
   if (worker.failed_calls > 0)
-    this->actions.emplace_back(LogNote{worker.info.life.id, "answers again"});
-  if (!worker.has_listing) {
+    this->actions.emplace_back(
+        LogNote{worker.info.incarnation.id, "answers again"});
+  if (!worker.has_reported) {
     ++this->worker_change_count;
     this->fleet.OnBoxAnswered(worker.info.box);
     // From now on the worker refuses grants of earlier owners. Without this
-    // bound the lasting tasks of a worker that died 3 s after a takeover waited
-    // another 7 s.
+    // bound, the long-running tasks of a worker that died 3 s after a takeover
+    // waited another 7 s.
     if (!worker.may_hold_earlier_lease)
       worker.latest_lease_end =
           std::min(worker.latest_lease_end, now + this->limits.max_grant);
   }
-  worker.has_listing = true;
+  worker.has_reported = true;
   worker.failed_calls = 0;
   worker.runs_presumed_over = false;
   worker.last_answer_at = now;
-  worker.listing_requested_at = worker.poll_sent_at;
-  worker.clock_ms = listing.clock_ms;
+  worker.report_requested_at = worker.poll_sent_at;
+  worker.clock_ms = report.clock_ms;
   worker.clock_read_at = now;
   this->ResolveLosses(worker, now);
   // 2. Ends go before runs: a task that ended may run there again.
   bool has_new_ends = false;
-  for (const ReportedEnd& end : listing.ended) {
+  for (const ReportedEnd& end : report.ended) {
     if (end.sequence <= worker.last_processed_end) {
       this->LogIgnoredEnd(worker, end);
       continue;
@@ -86,15 +87,15 @@
     worker.last_processed_end = end.sequence;
     has_new_ends = true;
   }
-  // 3. Listed runs.
-  for (const ReportedRun& run : listing.running)
+  // 3. Reported runs.
+  for (const ReportedRun& run : report.running)
     this->ProcessReportedRun(worker, run, now);
-  // 4. Expected runs that are not listed.
-  this->ResolveMissingRuns(worker, listing, now);
+  // 4. Expected runs that are not reported.
+  this->ResolveMissingRuns(worker, report, now);
   this->MigrateOffUnhealthyWorker(worker, now);
   this->ThrottleFillers(worker);
-  this->AdvanceAcknowledged(worker);
-  // Ends that were not acknowledged yet are listed again at once.
+  this->AdvanceRecordedEnds(worker);
+  // Ends that were not acknowledged yet are reported again at once.
   const bool has_unacknowledged_ends =
       worker.last_recorded_end > worker.last_acknowledged_end;
   worker.next_poll_at =
@@ -106,23 +107,24 @@
   if (run == worker.runs.end() || run->second.number != end.run)
     return;
   this->actions.emplace_back(
-      RunEndIgnored{.worker = worker.info.life,
+      RunEndIgnored{.worker = worker.info.incarnation,
                     .end = end,
                     .last_end_sequence = worker.last_processed_end});
 }
 
 void Scheduler::ProcessReportedRun(Worker& worker,
-                                   const ReportedRun& listed,
+                                   const ReportedRun& reported,
                                    base::Micros now) {
-  const auto found = worker.runs.find(listed.task);
-  if (found == worker.runs.end() || found->second.number != listed.run) {
+  const auto found = worker.runs.find(reported.task);
+  if (found == worker.runs.end() || found->second.number != reported.run) {
     // An older run beside a newer one of the same task is only stopped.
     if (found != worker.runs.end()) {
-      this->actions.emplace_back(StopRun{
-          .worker = worker.info.life, .task = listed.task, .run = listed.run});
+      this->actions.emplace_back(StopRun{.worker = worker.info.incarnation,
+                                         .task = reported.task,
+                                         .run = reported.run});
       return;
     }
-    this->AdoptRun(worker, listed, now);
+    this->AdoptRun(worker, reported, now);
     return;
   }
   Run& run = found->second;
@@ -134,52 +136,52 @@
   run.missing_since = {};
   run.is_confirmed = true;
   run.possible_loss.reset();
-  if (run.percent != listed.percent ||
+  if (run.percent != reported.percent ||
       run.progress_changed_at == base::Micros::zero())
     run.progress_changed_at = now;
-  run.percent = listed.percent;
-  run.load = listed.load;
-  this->UpdateSuspicion(worker, listed.task, run);
-  Job* job = this->FindJob(listed.task.job);
-  if (!job || !HasTask(*job, PositionOf(listed.task)))
+  run.percent = reported.percent;
+  run.load = reported.load;
+  this->UpdateSuspicion(worker, reported.task, run);
+  Job* job = this->FindJob(reported.task.job);
+  if (!job || !HasTask(*job, PositionOf(reported.task)))
     return;
   job->has_started = true;
-  Task& task = TaskAt(*job, PositionOf(listed.task));
-  if (!listed.checkpoint.empty())
-    task.checkpoint = listed.checkpoint;
+  Task& task = TaskAt(*job, PositionOf(reported.task));
+  if (!reported.checkpoint.empty())
+    task.checkpoint = reported.checkpoint;
   // A run that is being stopped does not count as at work, even if an older
-  // listing shows it at 100%.
-  task.is_serving = listed.percent >= 100 && run.state == RunState::kRunning;
+  // report shows it at 100%.
+  task.is_serving = reported.percent >= 100 && run.state == RunState::kRunning;
   // The run may be an earlier owner's, of a job or task that is over by now.
   if (job->end_is_saved() || task.state == TaskState::kDone)
-    this->Stop(worker, listed.task, now);
+    this->Stop(worker, reported.task, now);
 }
 
 // Takes in a run that this owner does not expect: it was started by an earlier
 // owner, or by a start that got no answer and was carried out late.
 void Scheduler::AdoptRun(Worker& worker,
-                         const ReportedRun& listed,
+                         const ReportedRun& reported,
                          base::Micros now) {
-  Job* job = this->FindJob(listed.task.job);
-  Run run{.number = listed.run, .state = RunState::kRunning};
+  Job* job = this->FindJob(reported.task.job);
+  Run run{.number = reported.run, .state = RunState::kRunning};
   run.decided_at = now;
   run.start_answered_at = now;
   run.adopted = true;
   run.is_confirmed = true;
-  run.percent = listed.percent;
+  run.percent = reported.percent;
   run.progress_changed_at = now;
-  run.load = listed.load;
+  run.load = reported.load;
   if (!job) {
-    this->BufferRun(worker, listed, now);
+    this->BufferRun(worker, reported, now);
     return;
   }
-  const bool known = HasTask(*job, PositionOf(listed.task));
+  const bool known = HasTask(*job, PositionOf(reported.task));
   if (known) {
-    const jobs::Step& step = StepOf(*job, PositionOf(listed.task));
+    const jobs::Step& step = StepOf(*job, PositionOf(reported.task));
     run.reserved = step.task_resources;
     run.quota_usage = step.task_resources;
     run.organisation_usage = &this->quotas.UsageOf(job->organisation);
-    run.lasting = step.long_running;
+    run.is_long_running = step.long_running;
     run.fills = step.fills;
     run.image = step.image;
     run.target_ms = step.target_ms;
@@ -188,19 +190,19 @@
   }
   // Without a matching task of the job the resource usage is unknown.
   run.has_unknown_resources = !known;
-  AddRun(worker, listed.task, run);
-  // A listed run implies a lease, whoever granted it.
+  AddRun(worker, reported.task, run);
+  // A reported run implies a lease, whoever granted it.
   worker.latest_lease_end =
       std::max(worker.latest_lease_end, now + this->limits.max_grant);
   if (known) {
-    Task& task = TaskAt(*job, PositionOf(listed.task));
+    Task& task = TaskAt(*job, PositionOf(reported.task));
     // An actual run takes precedence over a placement that is only planned.
     const auto other = this->workers.find(task.worker);
     if (task.state == TaskState::kPlaced && other != this->workers.end()) {
-      const auto plan = other->second.runs.find(listed.task);
+      const auto plan = other->second.runs.find(reported.task);
       if (plan != other->second.runs.end() &&
           plan->second.state == RunState::kPlanned)
-        this->CancelPlan(*job, PositionOf(listed.task));
+        this->CancelPlan(*job, PositionOf(reported.task));
     }
     const bool wanted =
         !job->finished() &&
@@ -208,15 +210,15 @@
          task.state == TaskState::kGivenUp);
     if (wanted) {
       task.state = TaskState::kPlaced;
-      task.worker = worker.info.life;
-      task.run = listed.run;
-      task.latest_run = std::max(task.latest_run, listed.run);
-      task.is_serving = listed.percent >= 100;
-      if (!listed.checkpoint.empty())
-        task.checkpoint = listed.checkpoint;
+      task.worker = worker.info.incarnation;
+      task.run = reported.run;
+      task.latest_run = std::max(task.latest_run, reported.run);
+      task.is_serving = reported.percent >= 100;
+      if (!reported.checkpoint.empty())
+        task.checkpoint = reported.checkpoint;
       job->has_started = true;
-      job->progress.placed[KeyOf(PositionOf(listed.task))] = {
-          .worker = worker.info.life, .run = task.run};
+      job->progress.placed[KeyOf(PositionOf(reported.task))] = {
+          .worker = worker.info.incarnation, .run = task.run};
       this->MarkChanged(*job);
       return;
     }
@@ -224,24 +226,24 @@
       return;
   }
   this->actions.emplace_back(LogNote{
-      listed.task.job,
+      reported.task.job,
       fmt::format("stopping run {} of task {}.{}.{} on {}: it is not needed",
-                  listed.run, listed.task.occurrence, listed.task.step,
-                  listed.task.index, worker.info.life.id)});
-  this->Stop(worker, listed.task, now);
+                  reported.run, reported.task.occurrence, reported.task.step,
+                  reported.task.index, worker.info.incarnation.id)});
+  this->Stop(worker, reported.task, now);
 }
 
 void Scheduler::ResolveMissingRuns(Worker& worker,
-                                   const WorkerReport& listing,
+                                   const WorkerReport& report,
                                    base::Micros now) {
-  std::set<jobs::TaskId> listed;
-  for (const ReportedRun& run : listing.running)
-    listed.insert(run.task);
+  std::set<jobs::TaskId> reported;
+  for (const ReportedRun& run : report.running)
+    reported.insert(run.task);
   std::vector<std::pair<jobs::TaskId, Run>> missing;
   for (auto& [task, run] : worker.runs) {
-    if (listed.contains(task))
+    if (reported.contains(task))
       continue;
-    // The listing may be older than the answer to the start or stop. An
+    // The report may be older than the answer to the start or stop. An
     // inherited run cannot be started later, since the worker now refuses
     // earlier epochs.
     const bool start_settled = run.state == RunState::kRunning &&
@@ -251,9 +253,9 @@
     const bool inherited = run.state == RunState::kInherited;
     if (!start_settled && !stop_settled && !inherited)
       continue;
-    // A run that is being stopped keeps its resources until its end is listed.
-    // A run that never started has no end, so it is dropped once it has been
-    // missing for longer than a stop can take.
+    // A run that is being stopped keeps its resources until its end is
+    // reported. A run that never started has no end, so it is dropped once it
+    // has been missing for longer than a stop can take.
     if (run.missing_since == base::Micros::zero())
       run.missing_since = worker.poll_sent_at;
     else if (worker.poll_sent_at >
@@ -264,22 +266,23 @@
     RemoveRun(worker, task);
     Job* job = this->FindJob(task.job);
     if (run.possible_loss && job && HasTask(*job, PositionOf(task)))
-      this->RecordLoss(*job, PositionOf(task), run.possible_loss->life,
+      this->RecordLoss(*job, PositionOf(task), run.possible_loss->incarnation,
                        run.possible_loss->loss, now);
     this->HandleLostRun(task, run.number, now);
   }
 }
 
 // Applies what a call's outcome tells about the worker and about this
-// ownership. Returns null if the life is not known or over.
-Worker* Scheduler::ApplyCommandOutcome(const jobs::WorkerIncarnation& life,
-                                       CommandOutcome outcome,
-                                       base::Micros now) {
-  Worker* found = this->FindIncarnation(life);
+// ownership. Returns null if the incarnation is not known or over.
+Worker* Scheduler::ApplyCommandOutcome(
+    const jobs::WorkerIncarnation& incarnation,
+    CommandOutcome outcome,
+    base::Micros now) {
+  Worker* found = this->FindIncarnation(incarnation);
   if (!found)
     return nullptr;
   if (outcome == CommandOutcome::kOtherIncarnation) {
-    this->EndIncarnation(life, LossReason::kOtherIncarnation, now);
+    this->EndIncarnation(incarnation, LossReason::kOtherIncarnation, now);
     return nullptr;
   }
   if (outcome == CommandOutcome::kFenced)
@@ -287,10 +290,10 @@
   return found;
 }
 
-void Scheduler::PollFailed(const jobs::WorkerIncarnation& life,
+void Scheduler::PollFailed(const jobs::WorkerIncarnation& incarnation,
                            CommandOutcome outcome,
                            base::Micros now) {
-  Worker* found = this->ApplyCommandOutcome(life, outcome, now);
+  Worker* found = this->ApplyCommandOutcome(incarnation, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
@@ -298,42 +301,43 @@
   if (outcome == CommandOutcome::kFenced)
     return;
   if (++worker.failed_calls == 1) {
-    this->actions.emplace_back(LogNote{
-        life.id, fmt::format("does not answer ({})",
-                             base::NameOf(kCommandOutcomeNames, outcome))});
+    this->actions.emplace_back(
+        LogNote{incarnation.id,
+                fmt::format("does not answer ({})",
+                            base::NameOf(kCommandOutcomeNames, outcome))});
   }
   worker.next_poll_at =
       now + std::min(kPollRetryDelay * worker.failed_calls, kMaxPollRetryDelay);
 }
 
-void Scheduler::StartAnswered(const StartRun& order,
+void Scheduler::StartAnswered(const StartRun& command,
                               CommandOutcome outcome,
                               base::Micros now,
                               std::int64_t clock_ms) {
-  Worker* found = this->FindHolder(order.worker);
-  // Another life answered, so this one has not started the run.
+  Worker* found = this->FindHolder(command.worker);
+  // Another incarnation answered, so this one has not started the run.
   if (outcome == CommandOutcome::kOtherIncarnation && found) {
-    RemoveRun(*found, order.task);
-    this->HandleLostRun(order.task, order.run, now);
+    RemoveRun(*found, command.task);
+    this->HandleLostRun(command.task, command.run, now);
   }
-  // Otherwise the run has moved to a later life, and the answer tells nothing
-  // about that one.
-  if (!found || found->info.life == order.worker)
-    found = this->ApplyCommandOutcome(order.worker, outcome, now);
+  // Otherwise the run has moved to a later incarnation, and the answer tells
+  // nothing about that one.
+  if (!found || found->info.incarnation == command.worker)
+    found = this->ApplyCommandOutcome(command.worker, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
-  const auto entry = worker.runs.find(order.task);
-  if (entry == worker.runs.end() || entry->second.number != order.run)
+  const auto entry = worker.runs.find(command.task);
+  if (entry == worker.runs.end() || entry->second.number != command.run)
     return;
   Run& run = entry->second;
-  Job* job = this->FindJob(order.task.job);
-  if (worker.info.life != order.worker)
+  Job* job = this->FindJob(command.task.job);
+  if (worker.info.incarnation != command.worker)
     worker.latest_lease_end =
         std::max(worker.latest_lease_end, now + this->limits.max_lease);
   if (outcome == CommandOutcome::kDone) {
     run.start_answered_at = now;
-    this->CheckClock(worker, order, run, clock_ms, now);
+    this->CheckClock(worker, command, run, clock_ms, now);
     worker.consecutive_unanswered_starts = 0;
     if (job)
       job->has_started = true;
@@ -346,37 +350,37 @@
       run.state = RunState::kUnsettled;
     run.start_unsettled_at = now;
     RecordUnansweredStart(
-        worker, {.task = order.task, .run = order.run, .given_up_at = now});
+        worker, {.task = command.task, .run = command.run, .given_up_at = now});
     ++worker.failed_calls;
     this->QuarantineIfStartsUnanswered(worker, now);
     return;
   }
   // The start was not carried out: free the resources and place the task again.
-  RemoveRun(worker, order.task);
-  if (job && HasTask(*job, PositionOf(order.task)))
-    this->RevokeLastTry(*job, PositionOf(order.task), order.run);
+  RemoveRun(worker, command.task);
+  if (job && HasTask(*job, PositionOf(command.task)))
+    this->RevokeLastTry(*job, PositionOf(command.task), command.run);
   if (outcome == CommandOutcome::kNotSent)
     ++worker.failed_calls;
   if (outcome == CommandOutcome::kBusy)
     this->UpdateFailureRate(worker, true, now);
   if (outcome == CommandOutcome::kNoTicket && job &&
-      HasTask(*job, PositionOf(order.task)))
-    StepAt(*job, PositionOf(order.task)).advice.tickets.erase(order.worker);
+      HasTask(*job, PositionOf(command.task)))
+    StepAt(*job, PositionOf(command.task)).advice.tickets.erase(command.worker);
   if (outcome == CommandOutcome::kNoCapacity ||
       outcome == CommandOutcome::kLeaseExpired)
     worker.quarantined_until =
         std::max(worker.quarantined_until, now + kPollRetryDelay);
-  this->HandleLostRun(order.task, order.run, now);
+  this->HandleLostRun(command.task, command.run, now);
 }
 
-// Confirms the run if the answer's clock shows that the listed life, rather
-// than a later one, answered the start.
+// Confirms the run if the answer's clock shows that the known
+// incarnation, rather than a later one, answered the start.
 void Scheduler::CheckClock(Worker& worker,
-                           const StartRun& order,
+                           const StartRun& command,
                            Run& run,
                            std::int64_t clock_ms,
                            base::Micros now) {
-  if (worker.info.life != order.worker)
+  if (worker.info.incarnation != command.worker)
     return;
   worker.failed_calls = 0;
   if (clock_ms <= 0)
@@ -396,19 +400,19 @@
   worker.consecutive_unanswered_starts = 0;
   worker.quarantined_until = now + kUnansweredStartsQuarantine;
   this->actions.emplace_back(
-      LogNote{worker.info.life.id,
+      LogNote{worker.info.incarnation.id,
               fmt::format("did not answer {} starts in a row; placing nothing "
                           "on it for {:.0f} s",
                           kMaxUnansweredStarts,
                           base::Seconds(kUnansweredStartsQuarantine))});
 }
 
-bool Scheduler::IsStillNeeded(const StartRun& order) const {
-  const Worker* worker = this->FindWorker(order.worker);
+bool Scheduler::IsStillNeeded(const StartRun& command) const {
+  const Worker* worker = this->FindWorker(command.worker);
   if (!worker)
     return false;
-  const auto run = worker->runs.find(order.task);
-  return run != worker->runs.end() && run->second.number == order.run &&
+  const auto run = worker->runs.find(command.task);
+  return run != worker->runs.end() && run->second.number == command.run &&
          run->second.state == RunState::kStarting;
 }
 
@@ -433,26 +437,26 @@
   // An earlier stop was sent for a start with an open outcome; its answer does
   // not settle this stop.
   run.stop_answered_at = {};
-  this->actions.emplace_back(
-      StopRun{.worker = worker.info.life, .task = task, .run = run.number});
+  this->actions.emplace_back(StopRun{
+      .worker = worker.info.incarnation, .task = task, .run = run.number});
 }
 
-void Scheduler::StopAnswered(const StopRun& order,
+void Scheduler::StopAnswered(const StopRun& command,
                              CommandOutcome outcome,
                              base::Micros now) {
-  Worker* found = this->ApplyCommandOutcome(order.worker, outcome, now);
+  Worker* found = this->ApplyCommandOutcome(command.worker, outcome, now);
   if (!found)
     return;
   Worker& worker = *found;
-  const auto run = worker.runs.find(order.task);
-  if (run == worker.runs.end() || run->second.number != order.run)
+  const auto run = worker.runs.find(command.task);
+  if (run == worker.runs.end() || run->second.number != command.run)
     return;
   const bool settled = outcome == CommandOutcome::kDone ||
                        outcome == CommandOutcome::kSuperseded;
   if (!settled)
     return;
   run->second.stop_answered_at = now;
-  // The end is listed within the time limit of a stop.
+  // The end is reported within the time limit of a stop.
   if (!worker.poll_in_flight)
     worker.next_poll_at = std::min(
         worker.next_poll_at, now + this->limits.max_stop_time + kStopPollSlack);
@@ -465,10 +469,10 @@
     for (auto& [task, run] : worker.runs) {
       const bool stop_unanswered = run.state == RunState::kStopping &&
                                    run.stop_answered_at == base::Micros::zero();
-      // A lasting task may be at work by now while others of its step are
-      // away, so it is stopped only after a listing that does not show it.
-      const bool may_work =
-          run.lasting && worker.listing_requested_at <= run.start_unsettled_at;
+      // A long-running task may be at work by now while others of its step are
+      // away, so it is stopped only after a report that does not show it.
+      const bool may_work = run.is_long_running && worker.report_requested_at <=
+                                                       run.start_unsettled_at;
       const bool start_open = run.state == RunState::kUnsettled && !may_work &&
                               run.stop_answered_at == base::Micros::zero();
       if ((!stop_unanswered && !start_open) ||
@@ -489,7 +493,7 @@
     const bool is_expired = now > worker.latest_lease_end + kLeaseExpirySlack;
     if (!is_expired)
       continue;
-    // A planned run has no lease yet; the next listing or answer decides on it.
+    // A planned run has no lease yet; the next report or answer decides on it.
     const bool has_only_plans = std::all_of(
         worker.runs.begin(), worker.runs.end(), [](const auto& entry) {
           return entry.second.state == RunState::kPlanned;
--- a/testing/scheduler_bench.h
+++ b/testing/scheduler_bench.h
@@ -45,7 +45,7 @@
   }
 
   static scheduler::WorkerInfo Worker(const std::string& id) {
-    return {.life = {.id = id},
+    return {.incarnation = {.id = id},
             .box = "box-" + id,
             .service = "pool",
             .address = id,
@@ -63,7 +63,7 @@
     return step;
   }
 
-  static jobs::Step OneLastingTask() {
+  static jobs::Step OneLongRunningTask() {
     jobs::Step step = OneTask();
     step.long_running = true;
     return step;
@@ -83,27 +83,27 @@
         scheduler::MakeJob(id, queue, spec, {}, this->now, {}), this->now);
   }
 
-  // Sends a look to the worker and delivers `listing` as its answer 10 ms
-  // later. The look grants a lease if `grant` is positive.
-  void List(const std::string& worker,
-            scheduler::WorkerReport listing,
-            base::Micros grant = {}) {
+  // Sends a poll to the worker and delivers `report` as its answer 10 ms later.
+  // The poll grants a lease if `grant` is positive.
+  void Report(const std::string& worker,
+              scheduler::WorkerReport report,
+              base::Micros grant = {}) {
     const jobs::WorkerIncarnation asked = this->LifeOf(worker);
-    if (listing.life.empty())
-      listing.life = asked;
+    if (report.incarnation.empty())
+      report.incarnation = asked;
     this->scheduler.PollSent({.worker = asked}, this->now);
     if (grant > base::Micros{})
       this->scheduler.PollGrantsLease(asked, grant);
     this->now += std::chrono::milliseconds(10);
-    listing.clock_ms = this->now.count() / 1000;
-    this->scheduler.WorkerReported(asked, listing, this->now);
+    report.clock_ms = this->now.count() / 1000;
+    this->scheduler.WorkerReported(asked, report, this->now);
     this->scheduler.WorkersRecorded({this->LifeOf(worker)});
   }
 
-  // Returns the worker life that the scheduler knows under the id.
+  // Returns the worker incarnation that the scheduler knows under the id.
   jobs::WorkerIncarnation LifeOf(const std::string& id) const {
     const scheduler::Worker* known = this->scheduler.FindWorker(id);
-    return known ? known->info.life : jobs::WorkerIncarnation{.id = id};
+    return known ? known->info.incarnation : jobs::WorkerIncarnation{.id = id};
   }
 
   // Confirms the ownership for the next 1.15 s.
@@ -112,8 +112,8 @@
         this->now, this->now + std::chrono::milliseconds(1150));
   }
 
-  // Advances the time by 300 ms and runs a turn of the scheduler.
-  std::vector<scheduler::Action> Turn() {
+  // Advances the time by 300 ms and runs one scheduling pass.
+  std::vector<scheduler::Action> RunPass() {
     this->now += std::chrono::milliseconds(300);
     this->Confirm();
     this->scheduler.Advance(this->now);
@@ -132,11 +132,11 @@
     }
   }
 
-  // Runs up to eight turns, with all saves succeeding, and returns the first
+  // Runs up to eight passes, with all saves succeeding, and returns the first
   // start; empty if there is none.
   scheduler::StartRun NextStart() {
     for (int i = 0; i < 8; ++i) {
-      const std::vector<scheduler::Action> actions = this->Turn();
+      const std::vector<scheduler::Action> actions = this->RunPass();
       const auto starts = Only<scheduler::StartRun>(actions);
       if (!starts.empty())
         return starts.front();
