--- a/testing/scheduler_model.cc
+++ b/testing/scheduler_model.cc
@@ -59,7 +59,7 @@
 void SchedulerModel::ScheduleAfter(base::Micros delay,
                                    std::function<void()> action) {
   this->events.push_back({.at = this->now + delay,
-                          .command = ++this->event_count,
+                          .order = ++this->event_count,
                           .action = std::move(action)});
 }
 
@@ -84,8 +84,7 @@
                         owner.is_fenced ? " gone" : "");
     for (const auto& [id, worker] : owner.scheduler->all_workers()) {
       text += fmt::format(
-          "  {} reported {} failed calls {} poll in flight {} lease to "
-          "{:.2f}\n",
+          "  {} listed {} failed calls {} look in flight {} lease to {:.2f}\n",
           jobs::FormatWorkerIncarnation(id), worker.has_reported,
           worker.failed_calls, worker.poll_in_flight,
           base::Seconds(worker.latest_lease_end));
@@ -257,7 +256,7 @@
     return true;
   });
   std::sort(due.begin(), due.end(), [](const Event& a, const Event& b) {
-    return std::pair(a.at, a.command) < std::pair(b.at, b.command);
+    return std::pair(a.at, a.order) < std::pair(b.at, b.order);
   });
   for (const Event& event : due)
     event.action();
--- a/testing/scheduler_model.h
+++ b/testing/scheduler_model.h
@@ -188,7 +188,7 @@
   };
   struct Event {
     base::Micros at{};
-    std::uint64_t command = 0;
+    std::uint64_t order = 0;
     std::function<void()> action;
   };
 
